--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -22,7 +22,7 @@
     Withdraw,
 )
 from ..metrics import Metrics
-from .agent_board import AgentBoard
+from .agent_context import AgentBoard
 from .chain import REPORT_S
 from .config_feed import ConfigFeed
 from .config_handing import ConfigHanding
--- a/src/gentianmux/leased/run_starts.py
+++ b/src/gentianmux/leased/run_starts.py
@@ -3,7 +3,7 @@
 from loguru import logger
 
 from ..messages import LeasedTask
-from .agent_board import AgentBoard, job_of
+from .agent_context import AgentBoard, job_of
 from .model import How, StartVerdict
 from .room import Room
 from .run_stops import RunStops
--- a/src/gentianmux/leased/run_stops.py
+++ b/src/gentianmux/leased/run_stops.py
@@ -2,7 +2,7 @@
 
 from loguru import logger
 
-from .agent_board import AgentBoard
+from .agent_context import AgentBoard
 from .model import How
 from .run_table import RunKey
 
--- a/src/gentianmux/leased/run_watch.py
+++ b/src/gentianmux/leased/run_watch.py
@@ -1,6 +1,6 @@
 """Watches how the runs at an agent's endpoint fare, and stops those that will not end well."""
 
-from .agent_board import AgentBoard
+from .agent_context import AgentBoard
 from .model import How
 from .progress import SLOW_FACTOR
 from .run_stops import RunStops
