--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -22,7 +22,7 @@
     Withdraw,
 )
 from ..metrics import Metrics
-from .agent_context import AgentBoard
+from .agent_context import AgentContext
 from .chain import REPORT_S
 from .config_feed import ConfigFeed
 from .config_handing import ConfigHanding
@@ -91,7 +91,7 @@
         metrics: Metrics,
         clock: Clock,
     ) -> None:
-        board = AgentBoard(cfg, driver, links, feed, metrics, clock)
+        board = AgentContext(cfg, driver, links, feed, metrics, clock)
         self._board = board
         self._handing = ConfigHanding(feed, links, clock)
         self._sharing = EvacuationSharing(feed.evacuations, links, self._on_evacuations)
--- a/src/gentianmux/leased/run_stops.py
+++ b/src/gentianmux/leased/run_stops.py
@@ -2,7 +2,7 @@
 
 from loguru import logger
 
-from .agent_context import AgentBoard
+from .agent_context import AgentContext
 from .model import How
 from .run_table import RunKey
 
@@ -12,7 +12,7 @@
 
     Parameters
     ----------
-    board : AgentBoard
+    board : AgentContext
         The endpoint and its runs.
 
     Examples
@@ -20,7 +20,7 @@
     ``stops.stop(key, How.STOPPED, "withdrawn")``, and ``stops.stop_due()`` once all are named.
     """
 
-    def __init__(self, board: AgentBoard) -> None:
+    def __init__(self, board: AgentContext) -> None:
         self._board = board
 
     def stop(self, key: RunKey, why: How, reason: str) -> None:
