--- a/bench/leased_speed.py
+++ b/bench/leased_speed.py
@@ -32,7 +32,7 @@
     RequestLimits,
     StepSpec,
 )
-from gentianmux.leased.room import Room
+from gentianmux.leased.resources import Room
 from gentianmux.memory_log import MemoryKeyedLog
 from gentianmux.messages import (
     PROTOCOL_VERSION,
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -31,7 +31,7 @@
 from .links import Links
 from .model import How, JobSpec, QueueRules
 from .placing import Placing
-from .room import NO_ROOM
+from .resources import NO_ROOM
 from .run_ends import RunEnds
 from .ticket import Ticket, Verdict
 
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -12,7 +12,7 @@
 from .fleet_view import AgentView, Wish
 from .job_state import TASK_BYTES, JobState, TaskState
 from .model import How
-from .room import NO_ROOM, Room
+from .resources import NO_ROOM, Room
 from .run_ends import RunEnds
 
 CLAIM_AGAIN_S = 0.02
@@ -32,7 +32,7 @@
 
     Parameters
     ----------
-    board : EntryBoard
+    ctx : EntryBoard
         The jobs and the agents.
     ends : RunEnds
         Takes back what could not be sent.
@@ -45,9 +45,9 @@
     """
 
     def __init__(
-        self, board: EntryBoard, ends: RunEnds, admissions: defaultdict[str, Admission]
+        self, ctx: EntryBoard, ends: RunEnds, admissions: defaultdict[str, Admission]
     ) -> None:
-        self._board = board
+        self._board = ctx
         self._ends = ends
         self._admissions = admissions
         self._planned = False
--- a/src/gentianmux/leased/run_stops.py
+++ b/src/gentianmux/leased/run_stops.py
@@ -12,7 +12,7 @@
 
     Parameters
     ----------
-    board : AgentContext
+    ctx : AgentContext
         The endpoint and its runs.
 
     Examples
@@ -20,8 +20,8 @@
     ``stops.stop(key, How.STOPPED, "withdrawn")``, and ``stops.stop_due()`` once all are named.
     """
 
-    def __init__(self, board: AgentContext) -> None:
-        self._board = board
+    def __init__(self, ctx: AgentContext) -> None:
+        self._board = ctx
 
     def stop(self, key: RunKey, why: How, reason: str) -> None:
         """Have a run stopped; it is gone only once a look has shown that."""
--- a/src/gentianmux/leased/run_watch.py
+++ b/src/gentianmux/leased/run_watch.py
@@ -18,7 +18,7 @@
 
     Parameters
     ----------
-    board : AgentContext
+    ctx : AgentContext
         The endpoint and its runs.
     stops : RunStops
         Stops what will not end well here.
@@ -28,8 +28,8 @@
     ``watch.watch_progress()`` after each look.
     """
 
-    def __init__(self, board: AgentContext, stops: RunStops) -> None:
-        self._board = board
+    def __init__(self, ctx: AgentContext, stops: RunStops) -> None:
+        self._board = ctx
         self._stops = stops
 
     def watch_progress(self) -> None:
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -42,7 +42,7 @@
     StepSpec,
 )
 from gentianmux.leased.payloads import pack
-from gentianmux.leased.room import Room
+from gentianmux.leased.resources import Room
 from gentianmux.leased.run_table import RunTable
 from gentianmux.messages import Assign, LeasedTask
 from gentianmux.platform.endpoint import PlatformEndpoint, read_farewell, read_report
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -15,7 +15,7 @@
 from gentianmux.leased.grants import GRANT_S, LATE_RESERVE, PASS_OVER_S, Grants, split
 from gentianmux.leased.job_state import JobState, Prospect
 from gentianmux.leased.model import JobSpec, QueueRules, StepSpec
-from gentianmux.leased.room import NO_ROOM, Room
+from gentianmux.leased.resources import NO_ROOM, Room
 from gentianmux.messages import Claim
 
 ENTRIES = ["e1", "e2", "e3"]
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -9,7 +9,7 @@
 from gentianmux.leased.job_state import Outcome
 from gentianmux.leased.model import EndedRow, EndpointReport, HoldReply, How
 from gentianmux.leased.payloads import pack
-from gentianmux.leased.room import Room
+from gentianmux.leased.resources import Room
 from gentianmux.messages import Assign, EndedRuns, LeasedTask, Message, RunRef, Withdraw
 
 
