--- a/bench/leased_endpoint.py
+++ b/bench/leased_endpoint.py
@@ -15,7 +15,7 @@
     NoAnswer,
     StartVerdict,
 )
-from gentianmux.leased.resources import NO_ROOM, Resources
+from gentianmux.leased.resources import NO_RESOURCES, Resources
 
 if TYPE_CHECKING:
     from bench.leased_world import Machine, World
@@ -106,7 +106,7 @@
 
     def used(self) -> Resources:
         """What its runs take, those being stopped included."""
-        total = NO_ROOM
+        total = NO_RESOURCES
         for run in self.active.values():
             total = total.plus(run.need)
         return total
--- a/bench/leased_speed.py
+++ b/bench/leased_speed.py
@@ -70,7 +70,7 @@
     def now(self) -> float:
         return self.time
 
-    def later(self, delay_s: float, call: Any, *args: Any) -> None:
+    def call_later(self, delay_s: float, call: Any, *args: Any) -> None:
         self.due.append((call, args))
 
     def soon(self, call: Any, *args: Any) -> None:
--- a/bench/leased_world.py
+++ b/bench/leased_world.py
@@ -28,7 +28,7 @@
     QueueRules,
     RequestLimits,
     StepSpec,
-    node_of,
+    instance_of,
 )
 from gentianmux.leased.resources import Resources
 from gentianmux.leased.settings import LeasedSettings, lease_s
@@ -371,7 +371,7 @@
         self._count += 1
         for mine, other in ((agent, entry), (entry, agent)):
             for process in list(mine.open):
-                if node_of(process) == node_of(other.me.process):
+                if instance_of(process) == instance_of(other.me.process):
                     del mine.open[process]
             mine.open[other.me.process] = self._count
             mine.heard[other.me.process] = self.time
@@ -380,7 +380,7 @@
 
     def is_cut(self, one: str, other: str) -> bool:
         """Whether nothing passes between two processes."""
-        return frozenset((node_of(one), node_of(other))) in self.cut
+        return frozenset((instance_of(one), instance_of(other))) in self.cut
 
     def cut_apart(self, one: str, other: str, seconds: float) -> None:
         """Cut two instances apart silently for a while."""
--- a/src/gentianmux/leased/agent_context.py
+++ b/src/gentianmux/leased/agent_context.py
@@ -12,7 +12,7 @@
 from .leaving import NO_BOUND_MS, longest_ms
 from .links import Links
 from .model import EndpointDriver, EndpointReport, How
-from .resources import NO_ROOM, Resources
+from .resources import NO_RESOURCES, Resources
 from .run_table import Finished, RunTable
 from .settings import LeasedSettings, lease_s
 
@@ -100,7 +100,7 @@
     def offered(self) -> Resources:
         """Room in which new runs may begin now."""
         if not self.is_accepting:
-            return NO_ROOM
+            return NO_RESOURCES
         return self.health.offered(self.table.room.free, len(self.table.runs), self.clock.now())
 
     def end_all(self, finished: list[Finished]) -> None:
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -31,7 +31,7 @@
 from .links import Links
 from .model import How, JobSpec, QueueRules
 from .placing import Placing
-from .resources import NO_ROOM
+from .resources import NO_RESOURCES
 from .run_ends import RunEnds
 from .ticket import Ticket, Verdict
 
@@ -225,7 +225,7 @@
         """Keep what the agent holds until it is surely over: it may connect again."""
         view = self._ctx.view.agents.get(agent)
         if view is not None:
-            view.offer(NO_ROOM)
+            view.offer(NO_RESOURCES)
         self._ctx.window.forget(agent)
 
     # Upkeep
--- a/src/gentianmux/leased/job_state.py
+++ b/src/gentianmux/leased/job_state.py
@@ -7,7 +7,7 @@
 
 from .model import How, JobSpec, QueueRules, StepSpec
 from .payloads import pack
-from .resources import NO_ROOM, Resources
+from .resources import NO_RESOURCES, Resources
 
 FIRST_RUN = 1
 """Runs of a task are numbered from here."""
@@ -163,8 +163,8 @@
         """What the tasks that can begin take; nothing when none can."""
         if self._waiting is None:
             needs = [self.step_of(task).need for task in self.ready()]
-            total = Resources(*map(sum, zip(*needs, strict=True))) if needs else NO_ROOM
-            self._waiting = Waiting(total, min(needs, default=NO_ROOM))
+            total = Resources(*map(sum, zip(*needs, strict=True))) if needs else NO_RESOURCES
+            self._waiting = Waiting(total, min(needs, default=NO_RESOURCES))
         return self._waiting
 
     def _changed(self) -> None:
--- a/src/gentianmux/leased/model.py
+++ b/src/gentianmux/leased/model.py
@@ -6,7 +6,7 @@
 from .resources import Resources
 
 
-def node_of(process: str) -> str:
+def instance_of(process: str) -> str:
     """Name of the instance whose process this is."""
     return process.rpartition(".")[0]
 
--- a/src/gentianmux/leased/run_starts.py
+++ b/src/gentianmux/leased/run_starts.py
@@ -67,7 +67,7 @@
             self._stops.stop_due()
             until = self._ctx.clock.now() + REPLACE_S
             args = (task, payload, entry, until)
-            self._ctx.clock.later(REPLACE_CHECK_S, self._begin_when_gone, *args)
+            self._ctx.clock.call_later(REPLACE_CHECK_S, self._begin_when_gone, *args)
             self.replacing.add(key)
             return None
         now = self._ctx.clock.now()
@@ -97,7 +97,7 @@
         gone = not self._ctx.table.runs_of_task(task.name)
         if not gone and now < until:
             args = (task, payload, entry, until)
-            self._ctx.clock.later(REPLACE_CHECK_S, self._begin_when_gone, *args)
+            self._ctx.clock.call_later(REPLACE_CHECK_S, self._begin_when_gone, *args)
             return
         self.replacing.discard((task.name, task.run))
         fresh = self._ctx.reports.chain.holds(entry, now)
