--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -29,7 +29,7 @@
 from .job_state import JobState, Outcome, longest_chain_s
 from .leaving import ends_in_time
 from .links import Links
-from .model import How, JobSpec, QueueRules
+from .model import JobSpec, QueueRules, RunOutcome
 from .placing import Placing
 from .resources import NO_RESOURCES
 from .run_ends import RunEnds
@@ -182,7 +182,7 @@
     @on_message.register
     def _(self, msg: EndedRuns, agent: str) -> None:
         for row in msg.runs:
-            self._ends.take(agent, row.task, row.run, How(row.how))
+            self._ends.take(agent, row.task, row.run, RunOutcome(row.how))
         view = self._ctx.view.of(agent)
         if msg.runs:
             view.seen = max(view.seen, msg.runs[-1].number)
--- a/src/gentianmux/leased/entry_reports.py
+++ b/src/gentianmux/leased/entry_reports.py
@@ -8,7 +8,7 @@
 from .chain import IDLE_REPORT_S, REPORT_S, AgentSide
 from .grants import GRANT_S, Grants
 from .links import Links
-from .model import How
+from .model import RunOutcome
 from .resources import NO_RESOURCES, Resources
 
 GATHER_S = 0.002
@@ -57,7 +57,7 @@
 
     Examples
     --------
-    ``reports.ended("e1.5", "task", 1, How.DONE, 120)`` and then ``reports.flush_ended("e1.5")``.
+    ``reports.ended("e1.5", "task", 1, RunOutcome.DONE, 120)`` and then ``reports.flush_ended("e1.5")``.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
         """Whether an entry has yet to acknowledge some ended run."""
         return bool(self._unseen.get(entry))
 
-    def ended(self, entry: str, task: str, run: int, how: How, ran_ms: int) -> None:
+    def ended(self, entry: str, task: str, run: int, how: RunOutcome, ran_ms: int) -> None:
         """Keep how a run ended until its entry has acknowledged it."""
         self._ended_number += 1
         row = EndedRun(self._ended_number, task, run, int(how), ran_ms)
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -11,7 +11,7 @@
 from .entry_board import EntryBoard
 from .fleet_view import AgentView, Wish
 from .job_state import TASK_BYTES, JobState, TaskState
-from .model import How
+from .model import RunOutcome
 from .resources import NO_RESOURCES, Resources
 from .run_ends import RunEnds
 
@@ -191,7 +191,7 @@
             self._ctx.window.sent(process, msg.number, size, self._ctx.clock.now())
         else:
             for task in tasks:
-                self._ends.take(process, task.name, task.run, How.NOT_STARTED)
+                self._ends.take(process, task.name, task.run, RunOutcome.NOT_STARTED)
 
     def _with_payloads(
         self, process: str, tasks: list[LeasedTask]
