--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -47,7 +47,7 @@
     account = ResourcePool(Resources(10, 10))
     for run, size, takes in steps:
         if takes:
-            account.take((str(run), 1), Resources(size, 1))
+            account.allocate((str(run), 1), Resources(size, 1))
         else:
             account.give_back((str(run), 1))
         assert account.capacity.fits(account.used)
