--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -170,9 +170,9 @@
         """Follow another life of the endpoint, or none: what was known of the last one ends."""
         self._ctx.health = EndpointHealth()
         if endpoint:
-            self._ctx.looks.turn_to(endpoint)
+            self._ctx.looks.attach(endpoint)
         else:
-            self._ctx.looks.turn_away()
+            self._ctx.looks.detach()
         self._ctx.end_all(finished)
 
     def _on_news(self, report: EndpointReport | None) -> None:
--- a/src/gentianmux/leased/endpoint_poller.py
+++ b/src/gentianmux/leased/endpoint_poller.py
@@ -89,7 +89,7 @@
 
     Examples
     --------
-    ``looks.turn_to("i-7f3a91c2")`` and then ``looks.run()`` in a greenlet, or ``looks.look()``.
+    ``looks.attach("i-7f3a91c2")`` and then ``looks.run()`` in a greenlet, or ``looks.look()``.
     """
 
     def __init__(
@@ -114,14 +114,14 @@
         self._answered_at = 0.0
         self._attached = Event()
 
-    def turn_to(self, endpoint: str) -> None:
+    def attach(self, endpoint: str) -> None:
         """Look at another life of the endpoint from now on."""
         self.life += 1
         self.endpoint = endpoint
         self.answering = False
         self._attached.set()
 
-    def turn_away(self) -> None:
+    def detach(self) -> None:
         """Look at nothing until there is another life."""
         self.endpoint = ""
         self.answering = False
