--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -84,7 +84,9 @@
     ) -> None:
         self._ctx = EntryContext(view, links, feed, metrics, clock, link_bytes_s)
         self._config_transfer = ConfigTransfer(feed, links, clock)
-        self._sharing = EvacuationBroadcast(feed.evacuations, links, self._on_evacuations)
+        self._evacuation_broadcast = EvacuationBroadcast(
+            feed.evacuations, links, self._on_evacuations
+        )
         self._ends = RunEnds(self._ctx)
         self._admitting = Admitting(self._ctx)
         self._placer = Placing(self._ctx, self._ends, self._admitting.admissions)
@@ -116,13 +118,13 @@
             return running
         now = self._ctx.clock.now()
         job = JobState(spec, queue, now, now + time_limit_s)
-        ticket = JobHandle(job)
-        self._ctx.jobs[spec.job_id] = ticket
+        handle = JobHandle(job)
+        self._ctx.jobs[spec.job_id] = handle
         self._ctx.backlog.put(job)
         self._ctx.metrics.count("jobs_admitted")
         self._admitting.admissions[queue.service].arrived(job, now)
         self._placer.place()
-        return ticket
+        return handle
 
     def now(self) -> float:
         """Monotonic time in seconds, as deadlines of jobs are counted."""
@@ -135,14 +137,14 @@
 
     def cancel(self, job_id: str) -> bool:
         """Cancel a job; false when none of this id is at work here."""
-        ticket = self._ctx.jobs.get(job_id)
-        if ticket is not None:
-            self._ctx.finish(ticket.job, Verdict(JobOutcome.CANCELLED, "cancelled by its caller"))
-        return ticket is not None
+        handle = self._ctx.jobs.get(job_id)
+        if handle is not None:
+            self._ctx.finish(handle.job, Verdict(JobOutcome.CANCELLED, "cancelled by its caller"))
+        return handle is not None
 
-    def abandon(self, ticket: JobHandle, reason: str) -> None:
+    def abandon(self, handle: JobHandle, reason: str) -> None:
         """Stop a job that nobody waits for any more."""
-        self._ctx.finish(ticket.job, Verdict(JobOutcome.UNKNOWN, reason))
+        self._ctx.finish(handle.job, Verdict(JobOutcome.UNKNOWN, reason))
 
     # Messages of agents
 
@@ -205,7 +207,7 @@
 
     @on_message.register
     def _(self, msg: Evacuated, agent: str) -> None:
-        self._sharing.take(msg, agent)
+        self._evacuation_broadcast.take(msg, agent)
 
     def _on_evacuations(self, evacuations: Evacuations) -> None:
         self._ctx.view.evacuated = evacuations.failure_domains
@@ -215,7 +217,7 @@
 
     def _on_open(self, hello: Hello) -> None:
         # Before anything is assigned there: the agent may have just started.
-        self._sharing.greet(hello.process)
+        self._evacuation_broadcast.greet(hello.process)
         self._ends.opened_at[hello.process] = self._ctx.clock.now()
         self._ctx.window.forget(hello.process)
         # The connection may have taken the place of a silent one, and the chain be nearly over.
@@ -252,9 +254,9 @@
     def step(self) -> None:
         """One round: passed deadlines, jobs that cannot be in time, placing."""
         now = self._ctx.clock.now()
-        for ticket in list(self._ctx.jobs.values()):
-            if now >= ticket.job.deadline:
-                self._ctx.give_up(ticket.job, "deadline passed")
+        for handle in list(self._ctx.jobs.values()):
+            if now >= handle.job.deadline:
+                self._ctx.give_up(handle.job, "deadline passed")
         self._correct_window(now)
         if self._ctx.backlog:
             self._admitting.decide(now)
@@ -284,8 +286,8 @@
         while not self.has_left() and self._ctx.clock.now() < until:
             gevent.sleep(LEAVE_CHECK_S)
         self._shutdown_at = self._ctx.clock.now()
-        for ticket in list(self._ctx.jobs.values()):
-            self._ctx.give_up(ticket.job, "the entry ends")
+        for handle in list(self._ctx.jobs.values()):
+            self._ctx.give_up(handle.job, "the entry ends")
 
     def begin_leaving(self, until: float) -> None:
         """Take only what can be expected to end before ``until``."""
