--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -159,7 +159,7 @@
         now = self._ctx.clock.now()
         view.take_load(msg, now)
         self._ctx.window.told(agent, msg.applied, now)
-        self._config_transfer.heard_of(agent, msg.config_version)
+        self._config_transfer.on_version(agent, msg.config_version)
         if view.free.cpu > 0:
             self._placer.call_soon()
         # Room that is granted to what no longer waits is for another entry.
