--- a/src/gentianmux/platform/endpoint.py
+++ b/src/gentianmux/platform/endpoint.py
@@ -6,7 +6,7 @@
 
 from loguru import logger
 
-from ..leased.entry_leases import CLOCK_DRIFT
+from ..leased.entry_leases import CLOCK_DRIFT_RATIO
 from ..leased.model import (
     ActiveRun,
     EndpointGone,
@@ -248,7 +248,9 @@
         self._fence = max(int(self._clock_ms), self._lowest_fence)
 
     def _until(self, lease_s: float, asked_at: float) -> int:
-        self._lease_end = max(self._lease_end, asked_at + lease_s * CLOCK_DRIFT + self._stop_s)
+        self._lease_end = max(
+            self._lease_end, asked_at + lease_s * CLOCK_DRIFT_RATIO + self._stop_s
+        )
         return int(self._clock_ms + (asked_at - self._clock_at) * 1000 + lease_s * 1000)
 
     def _call(
