--- a/src/gentianmux/leased/endpoint_poller.py
+++ b/src/gentianmux/leased/endpoint_poller.py
@@ -89,7 +89,7 @@
 
     Examples
     --------
-    ``looks.attach("i-7f3a91c2")`` and then ``looks.run()`` in a greenlet, or ``looks.look()``.
+    ``poller.attach("i-7f3a91c2")`` and then ``poller.run()`` in a greenlet, or ``poller.look()``.
     """
 
     def __init__(
