--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -204,9 +204,9 @@
             UPKEEP_S if self._ctx.table.runs or self._ctx.table.foreign else REPORT_INTERVAL_S
         )
 
-    def look(self) -> bool:
+    def poll(self) -> bool:
         """Look at the endpoint once, renewing its lease; false when it did not answer."""
-        return self._ctx.poller.look()
+        return self._ctx.poller.poll()
 
     def _on_looked(self, finished: list[Finished], clean_changed: bool) -> None:
         """Act on a look: report ends, stop what stands still, offer the room that is free."""
@@ -314,7 +314,7 @@
         entry = hello.process
         held = [RunRef(*run.key) for run in self._ctx.table.of_entry(entry)]
         held += [RunRef(*key) for key in sorted(self._starts.replacing)]
-        self._evacuation_broadcast.greet(entry)
+        self._evacuation_broadcast.send_to(entry)
         self._ctx.links.send(entry, self._state())
         self._ctx.links.send(entry, Holding(self._ctx.reports.applied.get(entry, 0), held))
         self._ctx.reports.resend_ended(entry)
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -18,7 +18,7 @@
     Message,
 )
 from ..metrics import Metrics
-from .admitting import AdmissionController
+from .admission_controller import AdmissionController
 from .config_feed import ConfigFeed
 from .config_transfer import ConfigTransfer
 from .entry_context import EntryContext
@@ -217,7 +217,7 @@
 
     def _on_open(self, hello: Hello) -> None:
         # Before anything is assigned there: the agent may have just started.
-        self._evacuation_broadcast.greet(hello.process)
+        self._evacuation_broadcast.send_to(hello.process)
         self._ends.opened_at[hello.process] = self._ctx.clock.now()
         self._ctx.window.forget(hello.process)
         # The connection may have taken the place of a silent one, and the chain be nearly over.
