--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -488,7 +488,7 @@
         driver = PlatformEndpoint(address, 0.05)
         driver.attach(report_of(earlier))
         driver.hold(0, 0.0, 0.5, 1.0)
-        driver._looks = PlatformEndpoint(other, 0.05)._looks
+        driver._poll_client = PlatformEndpoint(other, 0.05)._poll_client
         assert driver.is_present(report_of(later)) is True
         assert driver.is_present(report_of(earlier)) is False
         assert later.fence == 0
@@ -587,7 +587,7 @@
     def announce(report: EndpointReport | None) -> None:
         announced.append(None if report is None else (report.born, report.draining))
 
-    agent_of(world).on_endpoint = announce
+    agent_of(world).on_report_change = announce
     endpoint.draining = True
     world.run(0.6)
     world.restart_endpoint("w0", down_s=0.1)
