--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -302,7 +302,7 @@
         self._stops.stop_unechoed()
         for entry in self._ctx.links.processes():
             if self._chain.is_quiet(entry, now, self._ctx.has_runs_of(entry)):
-                self._ctx.links.renew(entry)
+                self._ctx.links.reconnect(entry)
         self._ctx.reports.forget_silent(now)
         self._ctx.links.close_idle()
 
