--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -216,7 +216,9 @@
         """Agents that serve a service and have not just refused a run."""
         return [agent for agent in self.serving(service, now) if now >= agent.failed_until]
 
-    def expect(self, node: str, service: str, failure_domain: str, cpu: int, now: float) -> None:
+    def expect_agent(
+        self, node: str, service: str, failure_domain: str, cpu: int, now: float
+    ) -> None:
         """Count an announced agent as capacity for a while, unless it is heard of first.
 
         Judged by the few agents that have connected in the first second after everything
