--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -73,7 +73,7 @@
         self._pending[number] = self._pending.get(number, NO_RESOURCES).plus(need)
         self.free = self.free.minus(need)
 
-    def take_load(self, load: AgentLoad, now: float) -> None:
+    def apply_report(self, load: AgentLoad, now: float) -> None:
         """Take in a load report; reports overtaken by a newer one count only as a sign of life."""
         self.last_heard_at = now
         if load.number <= self.newest_load:
