--- a/src/gentianmux/leased/progress.py
+++ b/src/gentianmux/leased/progress.py
@@ -16,7 +16,7 @@
 """Seconds of a run before its rate says anything: one report of progress and some rounding."""
 
 
-class Progress(NamedTuple):
+class RunProgress(NamedTuple):
     """What has been seen of one run: how far it is and since when it has been there."""
 
     began: float
@@ -26,7 +26,7 @@
     def seen(self, percent: float, now: float) -> "Progress":
         """Take in a report."""
         if percent > self.percent or not self.moved_at:
-            return Progress(self.began, percent, now)
+            return RunProgress(self.began, percent, now)
         return self
 
     def is_stalled(self, now: float) -> bool:
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -24,7 +24,7 @@
 from gentianmux.leased.fleet_view import LOOKED_AT, FleetView, PlacementRequest
 from gentianmux.leased.job_state import JobState, Phase, Timeliness
 from gentianmux.leased.model import JobSpec, QueueConfig, RunOutcome, StepSpec
-from gentianmux.leased.progress import STALL_S, Progress
+from gentianmux.leased.progress import STALL_S, RunProgress
 from gentianmux.leased.resources import ResourcePool, Resources
 from gentianmux.leased.settings import LeasedSettings, lease_s
 from gentianmux.messages import AgentLoad, EndpointState
@@ -101,7 +101,7 @@
 
 
 def test_a_run_stalls_only_when_its_progress_stands_still() -> None:
-    progress = Progress(0.0)
+    progress = RunProgress(0.0)
     for step in range(1, 20):
         progress = progress.seen(step, step * 0.1)
         assert not progress.is_stalled(step * 0.1 + 0.1)
