--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -1,4 +1,4 @@
-"""The agent: the only one that starts anything at the endpoint beside it."""
+"""Runs the tasks that entries assign at the endpoint beside the agent."""
 
 from collections.abc import Callable
 from functools import partial, singledispatchmethod
@@ -26,13 +26,13 @@
 from .config_feed import ConfigFeed
 from .config_transfer import ConfigTransfer
 from .endpoint_health import EndpointHealth
-from .endpoint_poller import EndpointPoller, LookHooks
+from .endpoint_poller import EndpointPoller, PollerHooks
 from .endpoint_tracker import EndpointTracker, TrackerHooks
 from .entry_leases import REPORT_INTERVAL_S
-from .entry_reporter import EntryReports, Load
+from .entry_reporter import EntryReporter, Load
 from .evacuation_broadcast import EvacuationBroadcast
 from .evacuations import Evacuations
-from .grants import LATE_RESERVE
+from .grants import LATE_HEADROOM_RATIO
 from .links import Links
 from .model import (
     EndpointDriver,
@@ -41,45 +41,43 @@
 )
 from .payloads import unpack
 from .resources import Resources
-from .run_monitor import RunWatch
-from .run_starter import RunStarts
-from .run_stopper import RunStops
-from .run_table import Finished, RunTable
+from .run_monitor import RunMonitor
+from .run_starter import RunStarter
+from .run_stopper import RunStopper
+from .run_table import FinishedRun, RunTable
 from .settings import LeasedSettings
 
 MAINTENANCE_INTERVAL_S = REPORT_INTERVAL_S / 2
-"""Seconds between checks of the entries' leases and of reports that are due, while something runs.
-One loop of 16 turns a second took the place of three of 38: a turn that does nothing costs some
-80 us of processor."""
+"""Interval between checks of entry leases and of due load reports while runs are active."""
 
-
-LAST_ORDERS_S = 0.05
-"""Seconds that an idle leaving agent waits for orders on their way, which it refuses: ten one-way
-delays between failure domains, and some for a busy processor."""
+SHUTDOWN_GRACE_S = 0.05
+"""How long a drained agent still refuses assignments that are in flight, before it exits."""
 
 
 class Agent:
-    """Guards one endpoint: exact room, one run of a task at a time, true ends.
+    """Runs tasks at one endpoint and reports to entries how their runs ended.
+
+    It accounts for the endpoint's resources exactly, and never has two runs of one task active.
 
     Parameters
     ----------
     cfg : LeasedSettings
-        The settings.
+        Settings of the process.
     driver : EndpointDriver
-        How the endpoint is spoken to.
+        Client of the endpoint.
     links : Links
         Connections to entries; the agent sets their callbacks.
     feed : ConfigFeed
-        The newest configuration, which the agent hands on.
+        Newest configuration, which the agent passes on to entries.
     metrics : Metrics
-        Counters.
+        Counters and histograms.
     clock : Clock
-        Time and deferred calls.
+        Monotonic time and deferred calls.
 
     Examples
     --------
-    ``agent.on_report(report)`` takes an endpoint's heartbeat, ``agent.run_loops()`` spawns what
-    runs for as long as the process lives, ``agent.shut_down(deadline)`` ends it without loss.
+    ``agent.on_report(report)`` handles a heartbeat of the endpoint, ``agent.run_loops()`` spawns
+    the background loops, ``agent.shut_down(deadline)`` drains the agent.
     """
 
     def __init__(
@@ -99,88 +97,93 @@
         )
         self._idle_since: float | None = None
         self.on_report_change: Callable[[EndpointReport | None], None] = lambda report: None
-        self._stops = RunStops(ctx)
-        self._starts = RunStarts(ctx, self._stops)
-        self._watch = RunWatch(ctx, self._stops)
+        self._stopper = RunStopper(ctx)
+        self._starter = RunStarter(ctx, self._stopper)
+        self._monitor = RunMonitor(ctx, self._stopper)
         ctx.tracker = EndpointTracker(
-            cfg, driver, ctx.table, feed, metrics, TrackerHooks(self._on_turn, self._on_news)
+            cfg,
+            driver,
+            ctx.table,
+            feed,
+            metrics,
+            TrackerHooks(self._on_switched, self._on_report_changed),
         )
-        hooks = LookHooks(
-            self._stops.stop_unechoed,
-            partial(self._follow, ctx.tracker.detach),
-            partial(self._follow, ctx.tracker.started_again),
-            self._on_looked,
-            self._on_silence,
+        hooks = PollerHooks(
+            self._stopper.stop_expired,
+            partial(self._update_endpoint, ctx.tracker.detach),
+            partial(self._update_endpoint, ctx.tracker.on_restarted),
+            self._on_polled,
+            self._on_unanswered_poll,
         )
         ctx.poller = EndpointPoller(driver, ctx.table, metrics, clock, ctx.lease_s, hooks)
-        ctx.reports = EntryReports(links, clock, self._load, ctx.has_runs_of)
-        self._chain = ctx.reports.chain
+        ctx.reporter = EntryReporter(links, clock, self._current_load, ctx.has_runs_of)
+        self._leases = ctx.reporter.leases
         links.on_open = self._on_open
         links.on_close = self._on_close
         links.on_message = self.on_message
 
-    # The endpoint
+    # Endpoint
 
     @property
     def report(self) -> EndpointReport | None:
-        """The newest heartbeat of the endpoint at work."""
+        """Newest heartbeat of the current incarnation of the endpoint."""
         return self._ctx.report
 
     @property
     def tracker(self) -> EndpointTracker:
-        """What follows the endpoint."""
+        """Tracker of the endpoint's current incarnation."""
         return self._ctx.tracker
 
     @property
     def poller(self) -> EndpointPoller:
-        """What looks at the endpoint."""
+        """Poller of the endpoint."""
         return self._ctx.poller
 
     @property
     def table(self) -> RunTable:
-        """The account of the endpoint's runs."""
+        """Runs at the endpoint and the resources that they hold."""
         return self._ctx.table
 
     @property
     def health(self) -> EndpointHealth:
-        """How the endpoint's runs fare."""
+        """Health of the endpoint, judged by its runs."""
         return self._ctx.health
 
     def on_report(self, report: EndpointReport) -> None:
-        """Take in a heartbeat of the endpoint beside this agent."""
-        self._follow(self._ctx.tracker.hear, report)
+        """Handle a heartbeat of the endpoint."""
+        self._update_endpoint(self._ctx.tracker.handle_heartbeat, report)
         if self.report is report and report.draining:
-            self._watch.move_what_cannot_end(report.drain_remaining_s)
+            self._monitor.stop_unfinishable(report.drain_remaining_s)
 
     def on_unreadable_heartbeat(self, endpoint: str, reason: str) -> None:
-        """Pass over a heartbeat that says nothing usable."""
-        self._ctx.tracker.unreadable(endpoint, reason)
+        """Count and log a heartbeat that cannot be decoded."""
+        self._ctx.tracker.handle_unreadable(endpoint, reason)
 
     def on_shutdown_notice(self, endpoint: str, born: int = 0) -> None:
-        """Take in an endpoint's word that it ends; ``born`` is 0 where its start is not told."""
-        self._follow(self._ctx.tracker.farewell, endpoint, born)
+        """Handle a shutdown notice; ``born`` is 0 if it does not carry the endpoint's start."""
+        self._update_endpoint(self._ctx.tracker.handle_shutdown_notice, endpoint, born)
 
-    def _follow(self, change: Callable[..., None], *args: Any) -> None:
-        """Change what is known of the endpoint, and tell entries if that changes its state."""
-        before = self._state()
+    def _update_endpoint(self, change: Callable[..., None], *args: Any) -> None:
+        """Apply a change to the tracked endpoint, and notify entries if its state differs."""
+        before = self._endpoint_state()
         change(*args)
-        if self._state() != before:
-            self._tell_state()
-            self._ctx.reports.load_soon()
+        if self._endpoint_state() != before:
+            self._send_state()
+            self._ctx.reporter.schedule_report()
 
-    def _on_turn(self, endpoint: str, finished: list[Finished]) -> None:
-        """Follow another life of the endpoint, or none: what was known of the last one ends."""
+    def _on_switched(self, endpoint: str, finished: list[FinishedRun]) -> None:
+        """Switch to another incarnation, or to none; nothing known of the last one is kept."""
         self._ctx.health = EndpointHealth()
         if endpoint:
             self._ctx.poller.attach(endpoint)
         else:
             self._ctx.poller.detach()
-        self._ctx.end_all(finished)
+        self._ctx.handle_finished(finished)
 
-    def _on_news(self, report: EndpointReport | None) -> None:
+    def _on_report_changed(self, report: EndpointReport | None) -> None:
         if report is not None:
-            self._ctx.reports.grants.late_reserve = Resources(
-                int(report.capacity.cpu * LATE_RESERVE)
+            self._ctx.reporter.grants.late_headroom = Resources(
+                int(report.capacity.cpu * LATE_HEADROOM_RATIO)
             )
         self.on_report_change(report)
 
@@ -190,60 +193,64 @@
         return self._ctx.is_accepting
 
     def run_loops(self) -> list[gevent.Greenlet]:
-        """Spawn the loops of this controller."""
+        """Spawn the background loops."""
         return [
             gevent.spawn(self._ctx.poller.run),
-            gevent.spawn(run_periodically, 0.0, self._keep_up),
+            gevent.spawn(run_periodically, 0.0, self._maintain),
         ]
 
-    def _keep_up(self) -> None:
-        """Check the chains and report, and wait for the next turn: at rest no run depends on it."""
+    def _maintain(self) -> None:
+        """Check leases, send due reports and wait, longer while no run depends on it."""
         self.check_chains()
         self.send_due_reports()
         gevent.sleep(
             MAINTENANCE_INTERVAL_S
-            if self._ctx.table.runs or self._ctx.table.foreign
+            if self._ctx.table.runs or self._ctx.table.unknown_runs
             else REPORT_INTERVAL_S
         )
 
     def poll(self) -> bool:
-        """Look at the endpoint once, renewing its lease; false when it did not answer."""
+        """Poll the endpoint once and renew its run leases; false if it did not answer."""
         return self._ctx.poller.poll()
 
-    def _on_looked(self, finished: list[Finished], clean_changed: bool) -> None:
-        """Act on a look: report ends, stop what stands still, offer the room that is free."""
-        self._ctx.end_all(finished)
-        self._watch.watch_progress()
-        self._stops.stop_due()
-        if clean_changed:
-            self._tell_state()
+    def _on_polled(self, finished: list[FinishedRun], reconciled_changed: bool) -> None:
+        """Report ended runs, stop stalled ones and offer the resources that were released."""
+        self._ctx.handle_finished(finished)
+        self._monitor.check_progress()
+        self._stopper.send_due_stops()
+        if reconciled_changed:
+            self._send_state()
         if finished:
-            self._ctx.reports.offer_room()
+            self._ctx.reporter.offer_resources()
 
-    def _on_silence(self, newly: bool) -> None:
-        if newly:
-            self._ctx.reports.load_soon()
+    def _on_unanswered_poll(self, became_silent: bool) -> None:
+        if became_silent:
+            self._ctx.reporter.schedule_report()
         if self._ctx.table.runs and self._ctx.clock.now() > self._ctx.driver.lease_end():
-            self._ctx.end_all(self._ctx.table.lose_all())
+            self._ctx.handle_finished(self._ctx.table.mark_all_lost())
 
     # Runs
 
     @singledispatchmethod
     def on_message(self, msg: Message, entry: str) -> None:
-        """Take in what an entry sent."""
+        """Handle a message of an entry."""
         logger.bind(peer=entry).warning("{} is not handled", type(msg).__name__)
 
     @on_message.register
     def _(self, msg: Assign, entry: str) -> None:
         now = self._ctx.clock.now()
-        self._chain.record_echo(entry, msg.echo)
-        self._ctx.reports.applied[entry] = max(msg.number, self._ctx.reports.applied.get(entry, 0))
-        fresh = self._chain.holds(entry, now)
+        self._leases.record_echo(entry, msg.echo)
+        self._ctx.reporter.applied[entry] = max(
+            msg.number, self._ctx.reporter.applied.get(entry, 0)
+        )
+        has_lease = self._leases.holds(entry, now)
         refused = False
         payloads = [unpack(payload) for payload in msg.payloads]
         for task in msg.tasks:
             payload = payloads[task.payload]
-            how = self._starts.begin(task, payload, entry) if fresh else RunOutcome.NOT_STARTED
+            how = (
+                self._starter.accept(task, payload, entry) if has_lease else RunOutcome.NOT_STARTED
+            )
             if how is not None:
                 refused = True
                 self._ctx.metrics.count("runs_refused", label=how.name.lower())
@@ -252,13 +259,13 @@
                     run=task.run,
                     peer=entry,
                     how=how.name.lower(),
-                    chain_holds=fresh,
-                    free_cpu=self._ctx.table.room.free.cpu,
+                    chain_holds=has_lease,
+                    free_cpu=self._ctx.table.resources.free.cpu,
                     accepting=self._ctx.is_accepting,
                 ).info("run not begun")
-                self._ctx.reports.ended(entry, task.name, task.run, how, 0)
-        self._ctx.reports.flush_ended(entry)
-        self._ctx.reports.answered(entry, refused, msg.claims)
+                self._ctx.reporter.record_ended(entry, task.name, task.run, how, 0)
+        self._ctx.reporter.send_ended(entry)
+        self._ctx.reporter.on_assignment(entry, refused, msg.claims)
 
     @on_message.register
     def _(self, msg: Withdraw, entry: str) -> None:
@@ -266,17 +273,17 @@
             key = (ref.task, ref.run)
             run = self._ctx.table.runs.get(key)
             if run is not None and run.entry == entry:
-                self._stops.stop(key, RunOutcome.STOPPED, "withdrawn")
+                self._stopper.stop(key, RunOutcome.STOPPED, "withdrawn")
             else:
-                self._starts.take_back(key, entry)
-        self._stops.stop_due()
-        self._ctx.reports.flush_ended(entry)
+                self._starter.withdraw(key, entry)
+        self._stopper.send_due_stops()
+        self._ctx.reporter.send_ended(entry)
 
     @on_message.register
     def _(self, msg: LoadEcho, entry: str) -> None:
-        self._chain.record_echo(entry, msg.number)
-        self._ctx.reports.seen(entry, msg.seen)
-        self._ctx.reports.claimed(entry, msg.claims, msg.gives_back)
+        self._leases.record_echo(entry, msg.number)
+        self._ctx.reporter.acknowledge(entry, msg.seen)
+        self._ctx.reporter.on_claims(entry, msg.claims, msg.gives_back)
         self._config_transfer.on_version(entry, msg.config_version)
 
     @on_message.register
@@ -284,8 +291,8 @@
         self._evacuation_broadcast.take(msg, entry)
 
     def _on_evacuations(self, _evacuations: Evacuations) -> None:
-        self._tell_state()
-        self._ctx.reports.load_soon()
+        self._send_state()
+        self._ctx.reporter.schedule_report()
 
     @on_message.register
     def _(self, msg: ConfigWanted, entry: str) -> None:
@@ -296,18 +303,15 @@
         self._config_transfer.take(msg, entry)
 
     def check_chains(self) -> None:
-        """Stop the runs of entries that no longer echo, and open connections in place of silent
-        ones."""
+        """Stop the runs of entries whose lease has expired, and reopen silent connections."""
         now = self._ctx.clock.now()
-        self._stops.stop_unechoed()
+        self._stopper.stop_expired()
         for entry in self._ctx.links.processes():
-            if self._chain.is_quiet(entry, now, self._ctx.has_runs_of(entry)):
+            if self._leases.is_overdue(entry, now, self._ctx.has_runs_of(entry)):
                 self._ctx.links.reconnect(entry)
-        self._ctx.reports.forget_silent(now)
+        self._ctx.reporter.drop_expired_entries(now)
         self._ctx.links.close_idle()
 
-    # Ends
-
     # Entries
 
     def _on_open(self, hello: Hello) -> None:
@@ -315,18 +319,18 @@
             return
         entry = hello.process
         held = [RunRef(*run.key) for run in self._ctx.table.of_entry(entry)]
-        held += [RunRef(*key) for key in sorted(self._starts.replacing)]
+        held += [RunRef(*key) for key in sorted(self._starter.replacing)]
         self._evacuation_broadcast.send_to(entry)
-        self._ctx.links.send(entry, self._state())
-        self._ctx.links.send(entry, Holding(self._ctx.reports.applied.get(entry, 0), held))
-        self._ctx.reports.resend_ended(entry)
-        self._ctx.reports.load_soon()
+        self._ctx.links.send(entry, self._endpoint_state())
+        self._ctx.links.send(entry, Holding(self._ctx.reporter.applied.get(entry, 0), held))
+        self._ctx.reporter.resend_ended(entry)
+        self._ctx.reporter.schedule_report()
 
     def _on_close(self, entry: str) -> None:
-        """Keep what the entry runs until its lease is over: it may connect again."""
-        self._ctx.reports.grants.forget(entry)
+        """Drop the entry's grant; its runs go on until its lease expires, as it may reconnect."""
+        self._ctx.reporter.grants.remove(entry)
 
-    def _state(self) -> EndpointState:
+    def _endpoint_state(self) -> EndpointState:
         report = self.report
         if report is None:
             return EndpointState(
@@ -342,74 +346,77 @@
             report.born,
         )
 
-    def _tell_state(self) -> None:
+    def _send_state(self) -> None:
         for entry in self._ctx.links.processes():
-            self._ctx.links.send(entry, self._state())
+            self._ctx.links.send(entry, self._endpoint_state())
 
     def stop_offering(self, entries: set[str]) -> set[str]:
-        """Offer some entries no room any more; those of them that run nothing here."""
+        """Offer no more resources to entries; return those that had none on offer and are idle."""
         idle = {
-            entry for entry in entries & self._ctx.reports.not_offered if not self._serves(entry)
+            entry
+            for entry in entries & self._ctx.reporter.not_offered
+            if not self._is_in_use(entry)
         }
-        self._ctx.reports.not_offered = entries - idle
+        self._ctx.reporter.not_offered = entries - idle
         return idle
 
-    def _serves(self, entry: str) -> bool:
-        return bool(self._ctx.table.of_entry(entry)) or self._ctx.reports.awaits(entry)
+    def _is_in_use(self, entry: str) -> bool:
+        return bool(self._ctx.table.of_entry(entry)) or self._ctx.reporter.awaits_acknowledgement(
+            entry
+        )
 
-    def _load(self) -> Load:
+    def _current_load(self) -> Load:
         slowness_percent = int(self._ctx.health.slowness() * 100)
         return Load(
             self._ctx.offered(),
             slowness_percent,
             self._ctx.feed.version,
-            self._ctx.longest_ms(),
+            self._ctx.max_estimate_ms(),
         )
 
-    def send_load(self) -> None:
-        """Report the room on offer to every entry."""
-        self._ctx.reports.send_load()
+    def send_reports(self) -> None:
+        """Send a load report to every entry."""
+        self._ctx.reporter.send_reports()
 
     def send_due_reports(self) -> None:
-        """Report the room on offer to the entries whose turn it is."""
-        self._ctx.reports.send_due_reports()
+        """Send a load report to each entry for which one is due."""
+        self._ctx.reporter.send_due_reports()
 
-    # Leaving
+    # Shutdown
 
     def begin_shutdown(self, until: float) -> None:
-        """Begin only what can be expected to end before ``until``.
+        """Accept only runs that can be expected to end before ``until``.
 
-        The endpoint is then used nearly up to the end, instead of idling beside its longest run:
-        when four of eleven agents were stopped within 4 s, 150 of 200 cores were in use.
+        The endpoint stays in use, instead of idling beside its longest run.
         """
-        self._ctx.leaving = True
-        self._ctx.leaves_at = until
-        self.send_load()
+        self._ctx.shutting_down = True
+        self._ctx.shutdown_at = until
+        self.send_reports()
 
     def is_drained(self) -> bool:
-        """Whether nothing runs any more; from the first such moment on, nothing begins."""
-        if self._ctx.table.runs or self._starts.replacing:
+        """Whether no run has been left for ``SHUTDOWN_GRACE_S``; none is accepted in that time."""
+        if self._ctx.table.runs or self._starter.replacing:
             return False
         now = self._ctx.clock.now()
         if self._idle_since is None:
             self._idle_since = now
-            self._ctx.leaves_at = now
-            self._tell_state()
-            self.send_load()
-        return now - self._idle_since > LAST_ORDERS_S
+            self._ctx.shutdown_at = now
+            self._send_state()
+            self.send_reports()
+        return now - self._idle_since > SHUTDOWN_GRACE_S
 
     def shut_down(self, until: float) -> None:
-        """Let what runs end, and move the rest before ``until``."""
+        """Wait for runs to end, and stop those left at ``until`` so that they run elsewhere."""
         self.begin_shutdown(until)
         while not self.is_drained() and self._ctx.clock.now() < until:
             gevent.sleep(0.02)
-        self._ctx.leaves_at = self._ctx.clock.now()
-        self._tell_state()
+        self._ctx.shutdown_at = self._ctx.clock.now()
+        self._send_state()
         for key in list(self._ctx.table.runs):
-            self._stops.stop(key, RunOutcome.STOPPED, "the agent ends")
-        self._stops.stop_due()
+            self._stopper.stop(key, RunOutcome.STOPPED, "the agent shuts down")
+        self._stopper.send_due_stops()
         last = self._ctx.clock.now() + 0.3
         while (
-            self._ctx.table.runs or self._ctx.reports.has_unseen
+            self._ctx.table.runs or self._ctx.reporter.has_unacknowledged
         ) and self._ctx.clock.now() < last:
             gevent.sleep(0.02)
--- a/src/gentianmux/leased/agent_context.py
+++ b/src/gentianmux/leased/agent_context.py
@@ -1,4 +1,4 @@
-"""What the controllers of an agent share: its endpoint, the runs there, and how they end."""
+"""State and components that the parts of an agent share."""
 
 from loguru import logger
 
@@ -8,50 +8,50 @@
 from .endpoint_health import EndpointHealth
 from .endpoint_poller import EndpointPoller
 from .endpoint_tracker import EndpointTracker
-from .entry_reporter import EntryReports
+from .entry_reporter import EntryReporter
 from .links import Links
 from .model import EndpointDriver, EndpointReport, RunOutcome
 from .resources import NO_RESOURCES, Resources
-from .run_table import Finished, RunTable
+from .run_table import FinishedRun, RunTable
 from .settings import LeasedSettings, lease_s
-from .shutdown import UNBOUNDED_ESTIMATE_MS, longest_ms
+from .shutdown import UNBOUNDED_ESTIMATE_MS, max_estimate_ms
 
 
 class AgentContext:
-    """Read and written by all controllers of an agent.
+    """Shared state of an agent: its endpoint, the runs there, and its connections to entries.
 
     Parameters
     ----------
     cfg : LeasedSettings
-        The settings.
+        Settings of the process.
     driver : EndpointDriver
-        How the endpoint is spoken to.
+        Client of the endpoint.
     links : Links
         Connections to entries.
     feed : ConfigFeed
-        The newest configuration, and evacuations.
+        Newest configuration and evacuations.
     metrics : Metrics
-        Counters.
+        Counters and histograms.
     clock : Clock
-        Time and deferred calls.
+        Monotonic time and deferred calls.
 
     Attributes
     ----------
     table : RunTable
-        The exact account of the endpoint's runs.
+        Runs at the endpoint and the resources that they hold.
     health : EndpointHealth
-        How the endpoint's runs fare; begins anew with each of its lives.
-    leaving : bool
+        Health of the endpoint; replaced with each of its incarnations.
+    shutting_down : bool
         Whether the process was told to stop.
-    leaves_at : float
-        When it will then have to have ended.
-    tracker, poller, reports : EndpointTracker, EndpointPoller, EntryReports
-        Set by the agent, whose methods they call.
+    shutdown_at : float
+        Monotonic time by which runs have to end then, in seconds.
+    tracker, poller, reporter : EndpointTracker, EndpointPoller, EntryReporter
+        Set by the agent, as they call back into it.
     """
 
     tracker: EndpointTracker
     poller: EndpointPoller
-    reports: EntryReports
+    reporter: EntryReporter
 
     def __init__(
         self,
@@ -71,17 +71,17 @@
         self.table = RunTable()
         self.health = EndpointHealth()
         self.lease_s = lease_s(cfg)
-        self.leaving = False
-        self.leaves_at = float("inf")
+        self.shutting_down = False
+        self.shutdown_at = float("inf")
 
     @property
     def report(self) -> EndpointReport | None:
-        """The newest heartbeat of the endpoint at work."""
+        """Newest heartbeat of the current incarnation of the endpoint."""
         return self.tracker.report
 
     @property
     def is_evacuated(self) -> bool:
-        """Whether operators evacuate the endpoint's failure domain; what runs goes on."""
+        """Whether the endpoint's failure domain is being evacuated; active runs go on."""
         report = self.report
         return report is not None and self.feed.evacuations.covers(report.failure_domain)
 
@@ -89,28 +89,35 @@
     def is_accepting(self) -> bool:
         """Whether new runs may begin here."""
         ready = self.report is not None and not self.report.draining and not self.is_evacuated
-        return ready and self.poller.answering and self.table.is_clean and self.longest_ms() > 0
-
-    def longest_ms(self) -> int:
-        """The longest estimate of a run that may still begin here, in ms."""
-        if not self.leaving:
+        return (
+            ready
+            and self.poller.is_responsive
+            and self.table.is_reconciled
+            and self.max_estimate_ms() > 0
+        )
+
+    def max_estimate_ms(self) -> int:
+        """Longest estimate of a run that may still begin here, in ms."""
+        if not self.shutting_down:
             return UNBOUNDED_ESTIMATE_MS
-        return longest_ms(self.leaves_at - self.clock.now())
+        return max_estimate_ms(self.shutdown_at - self.clock.now())
 
     def offered(self) -> Resources:
-        """Room in which new runs may begin now."""
+        """Resources that new runs may use now."""
         if not self.is_accepting:
             return NO_RESOURCES
-        return self.health.offered(self.table.room.free, len(self.table.runs), self.clock.now())
+        return self.health.offered(
+            self.table.resources.free, len(self.table.runs), self.clock.now()
+        )
 
-    def end_all(self, finished: list[Finished]) -> None:
-        """Report runs that are gone to their entries, and learn from how they ended."""
+    def handle_finished(self, finished: list[FinishedRun]) -> None:
+        """Report finished runs to their entries and update the endpoint's health."""
         now = self.clock.now()
         for run, how in finished:
             ran_s = now - run.began
             if how in (RunOutcome.DONE, RunOutcome.FAILED):
                 ratio = ran_s * 1000 / max(1, run.estimate_ms) if how is RunOutcome.DONE else None
-                self.health.ended(job_of(run.key[0]), how is RunOutcome.FAILED, ratio, now)
+                self.health.ended(job_id_of(run.key[0]), how is RunOutcome.FAILED, ratio, now)
             self.metrics.count("runs_ended", label=how.name.lower())
             self.metrics.observe("run_seconds", ran_s, label=how.name.lower())
             logger.bind(
@@ -122,17 +129,17 @@
                 estimate_ms=run.estimate_ms,
                 percent=run.progress.percent,
             ).info("run ended")
-            self.reports.ended(run.entry, *run.key, how, int(ran_s * 1000))
+            self.reporter.record_ended(run.entry, *run.key, how, int(ran_s * 1000))
         for entry in {run.entry for run, _ in finished}:
-            self.reports.flush_ended(entry)
+            self.reporter.send_ended(entry)
         if self.health.is_ejected(now):
-            self.reports.load_soon()
+            self.reporter.schedule_report()
 
     def has_runs_of(self, entry: str) -> bool:
-        """Whether an entry has runs at work here."""
+        """Whether an entry has active runs here."""
         return any(run.entry == entry for run in self.table.runs.values())
 
 
-def job_of(task: str) -> str:
+def job_id_of(task: str) -> str:
     """Id of the job that a task belongs to."""
     return task.partition(".")[0]
--- a/src/gentianmux/leased/endpoint_poller.py
+++ b/src/gentianmux/leased/endpoint_poller.py
@@ -1,4 +1,4 @@
-"""Looks at the endpoint beside an agent: what runs there, what has ended, does it answer."""
+"""Polls the endpoint beside an agent for active and ended runs, and renews their leases."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -10,82 +10,80 @@
 from ..clock import Clock, run_periodically
 from ..metrics import Metrics
 from .model import EndpointDriver, EndpointGone, EndpointStartedAgain, HoldReply, NoAnswer
-from .run_table import Finished, RunTable
+from .run_table import FinishedRun, RunTable
 
-LOOK_S = 0.08
-"""Seconds that a look waits for an end; progress and leases are renewed that often."""
+POLL_WAIT_S = 0.08
+"""How long a poll waits for a run to end; it also bounds how often leases are renewed."""
 
-IDLE_LOOK_S = 0.16
-"""Seconds that a look waits while nothing runs: six looks a second in place of twelve, each some
-1 ms of processor. With 0.3 a look whose answer is lost hid the end of a run that began meanwhile
-for 0.38 s, and jobs were refused where a third of the answers are lost."""
+IDLE_POLL_WAIT_S = 0.16
+"""How long a poll waits while nothing runs. If its answer is lost, the end of a run that began
+meanwhile is seen that much later."""
 
-LOOK_PATIENCE_S = 0.08
-"""Seconds beyond its wait after which a look is taken as lost and made again. An answer takes
-some 2 ms; a processor that is granted in tenths of a second delays it by up to 90."""
+POLL_TIMEOUT_MARGIN_S = 0.08
+"""Time beyond its wait after which a poll counts as unanswered and is repeated."""
 
-SILENT_LOOKS = 2
-"""Lost looks in a row after which the endpoint gets nothing new; single ones are only lost."""
+MAX_UNANSWERED_POLLS = 2
+"""Unanswered polls in a row after which the endpoint gets no new runs."""
 
-RENEW_WITHOUT_ANSWER_S = 0.25
-"""Seconds since the last answered look for which lost looks still renew the lease: two tries. It
-is bounded, or there would be no moment at which every lease has surely run out."""
+RENEWAL_GRACE_S = 0.25
+"""Time since the last answer for which polls still renew leases. It has to be bounded: otherwise
+there is no time at which every lease of a silent endpoint has expired."""
 
-CLEANING_LOOK_S = 0.01
-"""Seconds that a look waits while runs of an earlier agent are being stopped."""
+CLEANUP_POLL_WAIT_S = 0.01
+"""How long a poll waits while runs of an earlier agent process are being stopped."""
 
-SILENCE_PAUSE_S = 0.02
-"""Seconds between looks at an endpoint that does not answer."""
+POLL_RETRY_DELAY_S = 0.02
 
 
-class LookHooks(NamedTuple):
-    """What an agent does before a look, and about what it finds.
+class PollerHooks(NamedTuple):
+    """Callbacks of a poller.
 
     Attributes
     ----------
-    before : callable
-        Called before each look that renews leases.
-    gone : callable
-        Takes the reason when an endpoint with another id answers.
-    started_again : callable
-        Takes the time of its start when a later life of the same endpoint answers.
-    looked : callable
-        Takes the runs that are proved gone, and whether the table became clean or unclean.
-    silent : callable
-        Takes whether the endpoint has just become silent; called for each lost look.
+    before_poll : callable
+        Called before each poll that renews leases.
+    on_gone : callable
+        Called with a reason when an endpoint with another id answers.
+    on_restarted : callable
+        Called with its start time, in Unix milliseconds, when a later incarnation of the same
+        endpoint answers.
+    on_polled : callable
+        Called with the runs that ended, and whether ``RunTable.is_reconciled`` has changed.
+    on_unanswered : callable
+        Called for each unanswered poll, with whether the endpoint has just become unresponsive.
     """
 
-    before: Callable[[], None]
-    gone: Callable[[str], None]
-    started_again: Callable[[int], None]
-    looked: Callable[[list[Finished], bool], None]
-    silent: Callable[[bool], None]
+    before_poll: Callable[[], None]
+    on_gone: Callable[[str], None]
+    on_restarted: Callable[[int], None]
+    on_polled: Callable[[list[FinishedRun], bool], None]
+    on_unanswered: Callable[[bool], None]
 
 
 class EndpointPoller:
-    """Looks at one life of the endpoint after the other, again and again.
+    """Polls the current incarnation of the endpoint continuously.
 
     Parameters
     ----------
     driver : EndpointDriver
-        How the endpoint is spoken to.
+        Client of the endpoint.
     table : RunTable
-        Takes in what a look lists.
+        Runs at the endpoint, to which replies are applied.
     metrics : Metrics
-        Counters.
+        Counters and histograms.
     clock : Clock
-        Time.
+        Monotonic time.
     lease_s : float
-        Lease that a look asks for, in seconds.
-    hooks : LookHooks
-        What to do about it.
+        Run lease that a poll asks for, in seconds.
+    hooks : PollerHooks
+        Callbacks.
 
     Attributes
     ----------
-    answering : bool
-        Whether the endpoint has answered lately.
-    life : int
-        Counts the lives turned to; an answer of an earlier one is passed over.
+    is_responsive : bool
+        Whether the endpoint has answered recently.
+    incarnation : int
+        Counts the incarnations attached; the answer of an earlier one is dropped.
 
     Examples
     --------
@@ -99,122 +97,122 @@
         metrics: Metrics,
         clock: Clock,
         lease_s: float,
-        hooks: LookHooks,
+        hooks: PollerHooks,
     ) -> None:
-        self.answering = False
+        self.is_responsive = False
         self.endpoint = ""
-        self.life = 0
+        self.incarnation = 0
         self._driver = driver
         self._table = table
         self._metrics = metrics
         self._clock = clock
         self._lease_s = lease_s
         self._hooks = hooks
-        self._lost = 0
+        self._unanswered_polls = 0
         self._answered_at = 0.0
         self._attached = Event()
 
     def attach(self, endpoint: str) -> None:
-        """Look at another life of the endpoint from now on."""
-        self.life += 1
+        """Poll another incarnation of the endpoint from now on."""
+        self.incarnation += 1
         self.endpoint = endpoint
-        self.answering = False
+        self.is_responsive = False
         self._attached.set()
 
     def detach(self) -> None:
-        """Look at nothing until there is another life."""
+        """Stop polling until another incarnation is attached."""
         self.endpoint = ""
-        self.answering = False
+        self.is_responsive = False
         self._attached.clear()
 
     def run(self) -> None:
-        """Look for as long as the process lives."""
-        run_periodically(0.0, self._look_or_pause)
+        """Poll until the process ends."""
+        run_periodically(0.0, self._poll_or_wait)
 
-    def _look_or_pause(self) -> None:
+    def _poll_or_wait(self) -> None:
         self._attached.wait()
         if not self.poll():
-            gevent.sleep(SILENCE_PAUSE_S)
+            gevent.sleep(POLL_RETRY_DELAY_S)
 
     def poll(self) -> bool:
-        """Look at the endpoint once, renewing its lease; false when it did not answer."""
-        self._hooks.before()
-        clean = self._table.is_clean
-        lately = self._clock.now() - self._heard_at() < RENEW_WITHOUT_ANSWER_S
-        # Leases of what an earlier agent began are not renewed: it has to end.
-        renew_s = self._lease_s if clean and lately else 0.0
+        """Poll the endpoint once and renew its run leases; false if it did not answer."""
+        self._hooks.before_poll()
+        reconciled = self._table.is_reconciled
+        answered_recently = self._clock.now() - self._last_answer_at() < RENEWAL_GRACE_S
+        # Leases of runs that an earlier agent started are not renewed: those runs have to end.
+        renew_s = self._lease_s if reconciled and answered_recently else 0.0
         wait_s = self._wait_s()
-        timeout_s = wait_s + LOOK_PATIENCE_S
-        life = self.life
+        timeout_s = wait_s + POLL_TIMEOUT_MARGIN_S
+        incarnation = self.incarnation
         try:
             reply = self._driver.hold(self._acknowledged, wait_s, renew_s, timeout_s)
         except EndpointGone:
-            if life == self.life:
-                self._hooks.gone("another endpoint answers in its place")
+            if incarnation == self.incarnation:
+                self._hooks.on_gone("another endpoint answers in its place")
         except EndpointStartedAgain as exc:
-            if life == self.life:
-                self._hooks.started_again(exc.born)
+            if incarnation == self.incarnation:
+                self._hooks.on_restarted(exc.born)
         except NoAnswer as exc:
-            if life == self.life:
-                self._on_silence(str(exc))
+            if incarnation == self.incarnation:
+                self._on_unanswered(str(exc))
             return False
         else:
-            self._take_look(reply, life)
+            self._apply_reply(reply, incarnation)
         return True
 
     def _wait_s(self) -> float:
-        if not self._table.is_clean:
-            return CLEANING_LOOK_S
-        if self._table.runs or self._lost or not self.answering:
-            return LOOK_S
-        return IDLE_LOOK_S
+        if not self._table.is_reconciled:
+            return CLEANUP_POLL_WAIT_S
+        if self._table.runs or self._unanswered_polls or not self.is_responsive:
+            return POLL_WAIT_S
+        return IDLE_POLL_WAIT_S
 
     @property
     def _acknowledged(self) -> int:
-        """The newest end that the life which gets the look is known to have listed.
+        """Number of the last ended run that a poll acknowledges.
 
-        After a lost look it may be a later life, which would forget as many ends of its own, before
-        anybody has seen them: every run there is then taken for lost.
+        It is 0 after an unanswered poll: if a later incarnation gets the next one, it would drop
+        ended runs of its own before they were seen, and they would be reported as lost.
         """
-        return 0 if self._lost else self._table.acknowledged
+        return 0 if self._unanswered_polls else self._table.acknowledged
 
-    def _heard_at(self) -> float:
-        """When the endpoint last answered a look or confirmed the start of a run at work."""
+    def _last_answer_at(self) -> float:
+        """When the endpoint last answered a poll or confirmed the start of an active run."""
         confirmed = (run.answered_at for run in self._table.runs.values() if run.confirmed)
         return max(self._answered_at, max(confirmed, default=0.0))
 
-    def look_now(self) -> None:
-        """Look without waiting, beside the look that waits for an end."""
+    def poll_now(self) -> None:
+        """Poll without waiting, in addition to the poll that waits for a run to end."""
         if not self.endpoint:
             return
-        life = self.life
+        incarnation = self.incarnation
         try:
-            reply = self._driver.hold(self._acknowledged, 0.0, 0.0, LOOK_PATIENCE_S)
+            reply = self._driver.hold(self._acknowledged, 0.0, 0.0, POLL_TIMEOUT_MARGIN_S)
         except (EndpointGone, EndpointStartedAgain, NoAnswer) as exc:
-            # The look that waits finds the same, and acts on it.
+            # The poll that waits gets the same answer and handles it.
             self._metrics.count("endpoint_silences", label=type(exc).__name__)
         else:
-            self._take_look(reply, life)
+            self._apply_reply(reply, incarnation)
 
-    def _on_silence(self, reason: str) -> None:
+    def _on_unanswered(self, reason: str) -> None:
         self._metrics.count("endpoint_silences")
-        self._lost += 1
-        newly = self.answering and self._lost >= SILENT_LOOKS
-        if newly:
+        self._unanswered_polls += 1
+        became_silent = self.is_responsive and self._unanswered_polls >= MAX_UNANSWERED_POLLS
+        if became_silent:
             logger.bind(reason=reason, runs=len(self._table.runs)).warning("endpoint is silent")
-            self.answering = False
-        self._hooks.silent(newly)
+            self.is_responsive = False
+        self._hooks.on_unanswered(became_silent)
 
-    def _take_look(self, reply: HoldReply, life: int) -> None:
-        if life != self.life or reply.asked_at < self._answered_at:
-            # Of an earlier life, whose ends are numbered from 1 as well, or overtaken by a newer
-            # look: what it lists may be gone by now.
+    def _apply_reply(self, reply: HoldReply, incarnation: int) -> None:
+        if incarnation != self.incarnation or reply.asked_at < self._answered_at:
+            # From an earlier incarnation, which numbers ended runs from 1 as well, or older than a
+            # reply already applied: runs that it lists may have ended since.
             return
-        if not self.answering and self.endpoint:
+        if not self.is_responsive and self.endpoint:
             logger.bind(endpoint=self.endpoint).info("endpoint answers")
-        self.answering = True
-        self._lost = 0
+        self.is_responsive = True
+        self._unanswered_polls = 0
         self._answered_at = reply.asked_at
-        was_clean = self._table.is_clean
-        finished = self._table.looked_at(reply, self._clock.now())
-        self._hooks.looked(finished, self._table.is_clean != was_clean)
+        was_reconciled = self._table.is_reconciled
+        finished = self._table.apply_poll(reply, self._clock.now())
+        self._hooks.on_polled(finished, self._table.is_reconciled != was_reconciled)
--- a/src/gentianmux/leased/endpoint_tracker.py
+++ b/src/gentianmux/leased/endpoint_tracker.py
@@ -1,4 +1,4 @@
-"""Follows the endpoint beside an agent: which life of it is at work, and what that said last."""
+"""Tracks the current incarnation of the endpoint beside an agent, and its newest heartbeat."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -8,68 +8,69 @@
 from ..codes import ResultCode
 from ..metrics import Metrics
 from .config_feed import ConfigFeed
-from .heartbeat_kind import Word, judge
+from .heartbeat_kind import HeartbeatKind, classify_heartbeat
 from .model import EndpointDriver, EndpointReport
 from .resources import NO_RESOURCES
-from .run_table import Finished, RunTable
+from .run_table import FinishedRun, RunTable
 from .settings import LeasedSettings
 
-MAX_WRITERS = 100
-"""Writers of unreadable heartbeats that are remembered, so that each is logged once."""
+MAX_LOGGED_WRITERS = 100
+"""Senders of unreadable heartbeats that are remembered, so that each is logged once."""
 
-PROBES = 3
-"""Times that an endpoint is asked whether a heartbeat of another life is its own; a third of the
-answers may be lost, and the next heartbeat is seconds away."""
+MAX_PRESENCE_PROBES = 3
+"""How often an endpoint is asked whether a heartbeat of another incarnation is its own: answers may
+be lost, and the next heartbeat is seconds away."""
 
-_OTHER_LIVES = (Word.OTHER, Word.STARTED_AGAIN)
+_OTHER_INCARNATIONS = (HeartbeatKind.OTHER_ENDPOINT, HeartbeatKind.RESTARTED)
 
 
 class TrackerHooks(NamedTuple):
-    """What an agent does about what its tracker finds.
+    """Callbacks of a tracker.
 
     Attributes
     ----------
-    turned : callable
-        Takes the id of the endpoint whose life is followed from now on, empty for none, and the
-        runs that ended with the earlier life.
-    news : callable
-        Takes a heartbeat that says something other than the one before it, None when there is no
-        endpoint.
+    on_switched : callable
+        Called with the id of the endpoint that is tracked from now on, empty for none, and the
+        runs that ended with the earlier incarnation.
+    on_report_changed : callable
+        Called with the first heartbeat of an incarnation and with each that changes whether it
+        drains, and with None when the endpoint is gone.
     """
 
-    turned: Callable[[str, list[Finished]], None]
-    news: Callable[[EndpointReport | None], None]
+    on_switched: Callable[[str, list[FinishedRun]], None]
+    on_report_changed: Callable[[EndpointReport | None], None]
 
 
 class EndpointTracker:
-    """Takes in what the endpoint beside an agent says of itself.
+    """Handles heartbeats and shutdown notices of the endpoint beside an agent.
 
-    Nothing that is known of one life is carried into the next: heartbeat numbers, acknowledged
-    ends, clock, fence, health and the word that it drains all begin anew.
+    No state of one incarnation is carried over to the next: heartbeat numbers, acknowledged ended
+    runs, clock, fence, health and whether it drains are all reset.
 
     Parameters
     ----------
     cfg : LeasedSettings
-        The settings.
+        Settings of the process.
     driver : EndpointDriver
-        How the endpoint is spoken to.
+        Client of the endpoint.
     table : RunTable
-        The account of its runs.
+        Runs at the endpoint.
     feed : ConfigFeed
-        The newest configuration, which names the services.
+        Newest configuration, which names the services.
     metrics : Metrics
-        Counters.
+        Counters and histograms.
     hooks : TrackerHooks
-        What to do about what is found.
+        Callbacks.
 
     Attributes
     ----------
     report : EndpointReport or None
-        The newest heartbeat of the life at work; None while there is none, or it has not reported.
+        Newest heartbeat of the current incarnation; None while there is none, or it has not
+        reported.
 
     Examples
     --------
-    ``tracker.hear(report)`` takes a heartbeat, ``tracker.farewell("i-7f3a91c2", 0)`` a last word.
+    ``tracker.handle_heartbeat(report)``, and ``tracker.handle_shutdown_notice("i-7f3a91c2", 0)``.
     """
 
     def __init__(
@@ -90,47 +91,50 @@
         self._hooks = hooks
         self._newest: EndpointReport | None = None
         self._followed = ""
-        self._turns = 0
-        self._unreadable: set[str] = set()
-
-    def hear(self, report: EndpointReport) -> None:
-        """Take in a heartbeat."""
-        word = judge(report, self._newest)
-        if word is Word.FOREIGN:
-            self.unreadable(report.endpoint, "born is missing")
-        elif not self._is_named(report, word):
-            self.unreadable(report.endpoint, f"service {report.service[:40]!r} is not known")
-        elif word is Word.OVERTAKEN:
-            self._pass_over(report)
-        elif word is Word.ENDED:
+        self._switches = 0
+        self._unreadable_writers: set[str] = set()
+
+    def handle_heartbeat(self, report: EndpointReport) -> None:
+        """Handle a heartbeat."""
+        kind = classify_heartbeat(report, self._newest)
+        if kind is HeartbeatKind.WITHOUT_START:
+            self.handle_unreadable(report.endpoint, "born is missing")
+        elif not self._has_known_service(report, kind):
+            self.handle_unreadable(report.endpoint, f"service {report.service[:40]!r} is not known")
+        elif kind is HeartbeatKind.OVERTAKEN:
+            self._skip_overtaken(report)
+        elif kind is HeartbeatKind.ENDED:
             self._log_stale(report)
-        elif word in _OTHER_LIVES and self._followed:
-            self._ask_who_answers(report, word)
-        elif word is Word.CURRENT and self._followed:
-            self._take(report)
+        elif kind in _OTHER_INCARNATIONS and self._followed:
+            self._probe_incarnation(report, kind)
+        elif kind is HeartbeatKind.CURRENT and self._followed:
+            self._accept(report)
         else:
-            self._turn_to(report, word)
+            self._switch_to(report, kind)
 
-    def unreadable(self, endpoint: str, reason: str) -> None:
-        """Pass over a heartbeat that says nothing usable; what is known of the endpoint stays.
+    def handle_unreadable(self, endpoint: str, reason: str) -> None:
+        """Drop a heartbeat that cannot be used; what is known of the endpoint stays.
 
-        Logged once a writer: one that is not ours may send for as long as the process lives.
+        It is logged once per sender: an unrelated one may send for as long as the process lives.
         """
         self._metrics.count("heartbeats_unreadable")
-        if endpoint in self._unreadable or len(self._unreadable) >= MAX_WRITERS:
+        if (
+            endpoint in self._unreadable_writers
+            or len(self._unreadable_writers) >= MAX_LOGGED_WRITERS
+        ):
             return
-        self._unreadable.add(endpoint)
+        self._unreadable_writers.add(endpoint)
         code = int(ResultCode.BAD_FIELD)
         logger.bind(endpoint=endpoint[:100], code=code, reason=reason).warning(
             "heartbeat unreadable"
         )
 
-    def farewell(self, endpoint: str, born: int) -> None:
-        """Take in an endpoint's word that it ends; ``born`` is 0 when it does not tell its start.
+    def handle_shutdown_notice(self, endpoint: str, born: int) -> None:
+        """Handle a shutdown notice; ``born`` is 0 if it does not carry the endpoint's start.
 
-        The word of an earlier life may be late. Believed, it would give up what the present life
-        runs, and other endpoints would be given the same tasks. One in doubt changes nothing: an
-        endpoint that has ended answers no look, and its runs are given up with their leases.
+        A notice of an earlier incarnation may be late. Acting on it would give up active runs of
+        the current one, and other endpoints would get the same tasks. A notice in doubt is
+        ignored: an endpoint that has ended answers no polls, and its runs end with their leases.
         """
         known = self.report
         if known is None or known.endpoint != endpoint:
@@ -141,40 +145,40 @@
             )
             return
         if born:
-            self._part_from_life()
+            self._end_incarnation()
         else:
             self.detach("it left")
 
-    def _part_from_life(self) -> None:
-        """Give up what a life that has left was seen to run; a start may have reached a later one.
+    def _end_incarnation(self) -> None:
+        """End the runs that the incarnation was seen to run; others may have reached a later one.
 
-        An agent that stood still hears the farewell before it finds the endpoint started again.
+        An agent that was paused gets the notice before it finds that the endpoint has restarted.
         """
         logger.bind(endpoint=self._followed, reason="it left").warning("endpoint gone")
         self.report = None
-        self._turned(self._table.turn_over())
-        self._hooks.news(None)
+        self._notify_switched(self._table.begin_incarnation())
+        self._hooks.on_report_changed(None)
 
     def detach(self, reason: str) -> None:
-        """Note that the endpoint is gone, and all that it ran."""
+        """Record that the endpoint is gone, and end all of its runs."""
         if not self._followed:
             return
         logger.bind(endpoint=self._followed, reason=reason).warning("endpoint gone")
         self.report = None
         self._followed = ""
-        finished = self._table.lose_all()
+        finished = self._table.mark_all_lost()
         self._table.reset(NO_RESOURCES)
-        self._turned(finished)
-        # An agent that starts anew would take up the ended life from its announcement.
-        self._hooks.news(None)
+        self._notify_switched(finished)
+        # A restarted agent would resume the ended incarnation from its announcement.
+        self._hooks.on_report_changed(None)
 
-    def started_again(self, born: int) -> None:
-        """Turn to a later life that has answered; nothing begins there until it has reported.
+    def on_restarted(self, born: int) -> None:
+        """Switch to a later incarnation that answered; it gets no runs until its heartbeat comes.
 
         Parameters
         ----------
         born : int
-            When it started, in Unix milliseconds.
+            Start time of that incarnation, in Unix milliseconds.
         """
         newest = self._newest
         if newest is None:
@@ -184,14 +188,14 @@
         )
         self.report = None
         self._newest = newest._replace(born=born, sequence=0)
-        finished = self._table.turn_over()
+        finished = self._table.begin_incarnation()
         self._driver.attach(self._newest)
-        self._turned(finished)
+        self._notify_switched(finished)
 
-    def _is_named(self, report: EndpointReport, word: Word) -> bool:
-        """Whether the endpoint's service is one that the settings or the operators name."""
+    def _has_known_service(self, report: EndpointReport, kind: HeartbeatKind) -> bool:
+        """Whether the endpoint's service is one that the settings or the configuration name."""
         newest = self._newest
-        is_known_life = word in (Word.CURRENT, Word.OVERTAKEN)
+        is_known_life = kind in (HeartbeatKind.CURRENT, HeartbeatKind.OVERTAKEN)
         if newest is not None and newest.sequence and is_known_life:
             return report.service == newest.service
         config = self._feed.current
@@ -199,8 +203,8 @@
             return True
         return report.service in {self._cfg.service, *(queue.service for queue in config.queues)}
 
-    def _pass_over(self, report: EndpointReport) -> None:
-        """Leave out a heartbeat that was overtaken; what it says is told, since it is lost."""
+    def _skip_overtaken(self, report: EndpointReport) -> None:
+        """Skip a heartbeat older than the newest one; it is logged, since its content is lost."""
         self._metrics.count("heartbeats_overtaken")
         logger.bind(
             endpoint=report.endpoint,
@@ -209,20 +213,21 @@
             draining=report.draining,
         ).info("heartbeat overtaken")
 
-    def _ask_who_answers(self, report: EndpointReport, word: Word) -> None:
-        """Turn to another life only when it answers: its heartbeat may be late or false.
+    def _probe_incarnation(self, report: EndpointReport, kind: HeartbeatKind) -> None:
+        """Switch to another incarnation only if it answers: its heartbeat may be late or false.
 
-        Turning to it would declare lost what the present life runs, and another endpoint would
-        be given the same tasks. Where nothing answers, the next look or heartbeat tells.
+        Switching ends the runs of the current incarnation as lost, and other endpoints get the
+        same tasks. If nothing answers, the next poll or heartbeat decides.
         """
-        turns = self._turns
-        answers = (self._driver.is_present(report) for _ in range(PROBES))
+        switches = self._switches
+        answers = (self._driver.is_present(report) for _ in range(MAX_PRESENCE_PROBES))
         present = next((answer for answer in answers if answer is not None), None)
-        if turns != self._turns:
-            # A look has found the other life meanwhile; left out, its next heartbeat is 1.5 s away.
-            self.hear(report)
+        if switches != self._switches:
+            # A poll has found the other incarnation meanwhile. Without this heartbeat it would get
+            # no runs until its next one, which is seconds away.
+            self.handle_heartbeat(report)
         elif present:
-            self._turn_to(report, word)
+            self._switch_to(report, kind)
         else:
             self._log_stale(report)
 
@@ -235,35 +240,35 @@
             present_born=present and present.born,
         ).info("heartbeat of another life ignored")
 
-    def _take(self, report: EndpointReport) -> None:
-        """Take in news of the life that is followed."""
+    def _accept(self, report: EndpointReport) -> None:
+        """Accept a heartbeat of the current incarnation."""
         known = self.report
         if self._newest is not None and report.born != self._newest.born:
-            # Known until now from a record that does not tell the start.
+            # Known so far from an announcement that does not carry the start.
             self._driver.attach(report)
         self.report = self._newest = report
-        self._table.room.capacity = report.capacity
+        self._table.resources.capacity = report.capacity
         if known is not None and report.draining == known.draining:
             return
         event = "endpoint drains" if report.draining else "endpoint is ready again"
-        self._log_heard(report, "endpoint found" if known is None else event)
-        self._hooks.news(report)
-
-    def _turn_to(self, report: EndpointReport, word: Word) -> None:
-        self._log_heard(report, "endpoint found")
-        if word is Word.STARTED_AGAIN:
-            finished = self._table.turn_over()
-            self._table.room.capacity = report.capacity
+        self._log_report(report, "endpoint found" if known is None else event)
+        self._hooks.on_report_changed(report)
+
+    def _switch_to(self, report: EndpointReport, kind: HeartbeatKind) -> None:
+        self._log_report(report, "endpoint found")
+        if kind is HeartbeatKind.RESTARTED:
+            finished = self._table.begin_incarnation()
+            self._table.resources.capacity = report.capacity
         else:
-            finished = self._table.lose_all()
+            finished = self._table.mark_all_lost()
             self._table.reset(report.capacity)
         self.report = self._newest = report
         self._followed = report.endpoint
         self._driver.attach(report)
-        self._turned(finished)
-        self._hooks.news(report)
+        self._notify_switched(finished)
+        self._hooks.on_report_changed(report)
 
-    def _log_heard(self, report: EndpointReport, event: str) -> None:
+    def _log_report(self, report: EndpointReport, event: str) -> None:
         logger.bind(
             endpoint=report.endpoint,
             born=report.born,
@@ -272,6 +277,6 @@
             capacity=report.capacity,
         ).info(event)
 
-    def _turned(self, finished: list[Finished]) -> None:
-        self._turns += 1
-        self._hooks.turned(self._followed, finished)
+    def _notify_switched(self, finished: list[FinishedRun]) -> None:
+        self._switches += 1
+        self._hooks.on_switched(self._followed, finished)
--- a/src/gentianmux/leased/grants.py
+++ b/src/gentianmux/leased/grants.py
@@ -1,4 +1,4 @@
-"""Who gets the room that comes free at an endpoint: the most urgent claim, and nobody else."""
+"""Grants the free resources of an endpoint to the most urgent claims of entries."""
 
 from collections.abc import Iterable, Iterator, Sequence
 from dataclasses import dataclass
@@ -7,25 +7,20 @@
 from ..messages import Claim
 from .resources import NO_RESOURCES, Resources
 
-GRANT_S = 0.04
-"""Seconds for which granted room is kept for its entry: some ten round trips between failure
-domains and two turns of a process that is short of processor. It is used or given back within one
-unless the entry stands still."""
+GRANT_TTL_S = 0.04
+"""How long granted resources are kept for an entry that neither uses nor releases them."""
 
-PASS_OVER_S = 0.2
-"""Seconds for which an entry that let a grant lapse gets no other: what waits there does not suit
-this endpoint, or the entry is gone, and others wait for the same room."""
+GRANT_BACKOFF_S = 0.2
+"""How long an entry that let a grant expire gets no other: its tasks do not suit this endpoint or
+it is gone, and others wait for the same resources."""
 
-
-LATE_RESERVE = 0.1
+LATE_HEADROOM_RATIO = 0.1
 """Part of an endpoint's processors that tasks of late jobs leave free, so that a job that can be in
-time finds room at once. At 1.4 times the usual load (``bench.leased_load``, 4 seeds) 93.9 % of jobs
-were in time without it, 95.2 % with it and 95.6 % where no job is served late; 2.1, 2.4 and 3.1 %
-were not served. With 0.2 and 0.35 as many were in time and fewer were served at 1.2 times."""
+time finds resources at once."""
 
 
-class Waiting(NamedTuple):
-    """A claim as an agent keeps it; ``begin_by`` is on the agent's monotonic clock, in seconds."""
+class PendingClaim(NamedTuple):
+    """A claim of an entry; ``begin_by`` is on the agent's monotonic clock, in seconds."""
 
     entry: str
     need: Resources
@@ -38,36 +33,35 @@
 
 @dataclass
 class _Grant:
-    room: Resources
+    resources: Resources
     until: float
 
 
-def urgency(waiting: Waiting) -> tuple[bool, bool, int, float]:
-    """Sort key over all entries, the same order as within one: see ``admission.urgency``."""
+def urgency(waiting: PendingClaim) -> tuple[bool, bool, int, float]:
+    """Sort key of claims, in the order that entries sort their jobs in."""
     return waiting.late, not waiting.begun, waiting.priority, waiting.begin_by
 
 
 class Grants:
-    """Deals the free room of one endpoint out to claims; pure.
-
-    Room is granted to one entry at a time. Offered to all, it was a race: on a day at 1.3 times the
-    capacity 6,196 orders were refused for room beside 6,426 tasks that began, half of all tasks at
-    least once, and began 59 ms (p50) to 396 ms (p95) after their first refusal.
+    """Grants the free resources of one endpoint to claims; it does no I/O.
 
-    Nothing here has to survive: claims are told again with each echo, and grants lapse.
+    Resources are granted to one entry at a time: offered to all, they would be raced for, and most
+    assignments would be refused. Nothing here has to survive a restart, since claims are repeated
+    with each echo and grants expire.
 
     Attributes
     ----------
-    late_reserve : Resources
-        What late work leaves free for work that can be in time.
+    late_headroom : Resources
+        Resources that late work leaves free for work that can be in time.
     task_cpu : int
-        What a task has taken here lately, in thousandths of a core: room is shared by whole tasks.
+        Processor share of a recent task, in thousandths of a core; resources are shared in
+        multiples of it.
 
     Examples
     --------
     >>> grants = Grants()
     >>> grants.claim("e1", [Claim(5000, 128, 0, 2500, False, False, 0, 100)], now=0.0)
-    >>> grants.deal(Resources(4000, 1000), now=0.0)
+    >>> grants.allocate(Resources(4000, 1000), now=0.0)
     {'e1'}
     >>> offers = grants.offers(["e1", "e2"], Resources(4000, 1000), now=0.0)
     >>> offers["e1"].cpu, offers["e2"].cpu
@@ -75,16 +69,16 @@
     """
 
     def __init__(self) -> None:
-        self.late_reserve = NO_RESOURCES
+        self.late_headroom = NO_RESOURCES
         self.task_cpu = 0
-        self._claims: dict[str, list[Waiting]] = {}
-        self._granted: dict[str, _Grant] = {}
-        self._passed_over: dict[str, float] = {}
+        self._claims: dict[str, list[PendingClaim]] = {}
+        self._grants: dict[str, _Grant] = {}
+        self._backoff_until: dict[str, float] = {}
 
     def claim(self, entry: str, claims: Iterable[Claim], now: float) -> None:
-        """Replace what an entry claims; with nothing claimed, what it was granted comes back."""
+        """Replace an entry's claims; without any, its grant is released."""
         found = [
-            Waiting(
+            PendingClaim(
                 entry,
                 Resources(c.cpu, c.mem_mb, c.gpu),
                 c.least_cpu,
@@ -98,102 +92,105 @@
         if found:
             self._claims[entry] = found
         else:
-            self.forget(entry)
+            self.remove(entry)
 
-    def forget(self, entry: str) -> None:
-        """Drop what an entry claims and was granted."""
+    def remove(self, entry: str) -> None:
+        """Remove the claims and the grant of an entry."""
         self._claims.pop(entry, None)
-        self._granted.pop(entry, None)
+        self._grants.pop(entry, None)
 
-    def answered(self, entry: str) -> None:
-        """Take back what an entry has left of a grant, once it has used it for an assignment."""
-        self._granted.pop(entry, None)
+    def release(self, entry: str) -> None:
+        """Release what is left of an entry's grant after an assignment."""
+        self._grants.pop(entry, None)
 
     @property
     def is_contended(self) -> bool:
-        """Whether anybody waits for room."""
+        """Whether any entry waits for resources."""
         return bool(self._claims)
 
-    def deal(self, free: Resources, now: float) -> set[str]:
-        """Grant free room to claims, the most urgent first; the entries whose offer has changed."""
-        self._drop_lapsed(now)
-        left = self._left(free)
+    def allocate(self, free: Resources, now: float) -> set[str]:
+        """Grant free resources, most urgent claims first; return the entries that got any."""
+        self._expire_grants(now)
+        left = self._unallocated(free)
         changed = set()
-        for waiting in sorted(self._open_claims(now), key=urgency):
-            room = _part(waiting, self._open_to(waiting.late, left))
-            if room is None:
+        for waiting in sorted(self._eligible_claims(now), key=urgency):
+            resources = _usable_part(waiting, self._available_to(waiting.late, left))
+            if resources is None:
                 continue
-            left = left.minus(room)
-            known = self._granted.get(waiting.entry)
-            granted = room if known is None else known.room.plus(room)
-            self._granted[waiting.entry] = _Grant(granted, now + GRANT_S)
+            left = left.minus(resources)
+            known = self._grants.get(waiting.entry)
+            granted = resources if known is None else known.resources.plus(resources)
+            self._grants[waiting.entry] = _Grant(granted, now + GRANT_TTL_S)
             changed.add(waiting.entry)
         return changed
 
-    def _open_to(self, late: bool, room: Resources) -> Resources:
-        """What of some room work may use: late work leaves a part for what can be in time."""
-        return _at_least_none(room.minus(self.late_reserve)) if late else room
+    def _available_to(self, late: bool, resources: Resources) -> Resources:
+        """Part of resources that work may use; late work leaves headroom for work in time."""
+        return _clamp_to_zero(resources.minus(self.late_headroom)) if late else resources
 
-    def _open_claims(self, now: float) -> Iterator[Waiting]:
-        """Claims of entries that have no grant to answer yet and are not passed over."""
+    def _eligible_claims(self, now: float) -> Iterator[PendingClaim]:
+        """Claims of entries that have no open grant and are not backed off."""
         for entry, claims in self._claims.items():
-            if entry not in self._granted and self._passed_over.get(entry, now) <= now:
+            if entry not in self._grants and self._backoff_until.get(entry, now) <= now:
                 yield from claims
 
-    def _drop_lapsed(self, now: float) -> None:
-        self._passed_over = {e: until for e, until in self._passed_over.items() if until > now}
-        for entry, grant in list(self._granted.items()):
+    def _expire_grants(self, now: float) -> None:
+        self._backoff_until = {e: until for e, until in self._backoff_until.items() if until > now}
+        for entry, grant in list(self._grants.items()):
             if grant.until <= now:
-                del self._granted[entry]
-                self._passed_over[entry] = now + PASS_OVER_S
+                del self._grants[entry]
+                self._backoff_until[entry] = now + GRANT_BACKOFF_S
 
-    def _left(self, free: Resources) -> Resources:
-        for grant in self._granted.values():
-            free = free.minus(grant.room)
-        return _at_least_none(free)
+    def _unallocated(self, free: Resources) -> Resources:
+        for grant in self._grants.values():
+            free = free.minus(grant.resources)
+        return _clamp_to_zero(free)
 
     def offers(self, entries: Sequence[str], free: Resources, now: float) -> dict[str, Resources]:
-        """What each entry may use now: its grant, and its share of what nobody claims.
+        """Resources that each entry may use now: its grant, and its share of what nobody claims.
 
         Parameters
         ----------
-        entries : sequence get_or_add str
-            All that the endpoint is shared with, in the order in which they get what cannot be
-            split evenly.
+        entries : sequence of str
+            All entries that share the endpoint; the first ones get what cannot be split evenly.
         free : Resources
-            Free room of the endpoint.
+            Free resources of the endpoint.
         now : float
             Monotonic time in seconds.
         """
-        shares = split(self._unclaimed(free, now), len(entries), self.task_cpu)
+        shares = split_by_task(self._unclaimed(free, now), len(entries), self.task_cpu)
         return {
-            entry: self._granted_room(entry, now).plus(self._open_to(self._is_late(entry), share))
+            entry: self._granted_resources(entry, now).plus(
+                self._available_to(self._has_only_late_claims(entry), share)
+            )
             for entry, share in zip(entries, shares, strict=True)
         }
 
-    def _granted_room(self, entry: str, now: float) -> Resources:
-        grant = self._granted.get(entry)
-        return grant.room if grant is not None and grant.until > now else NO_RESOURCES
+    def _granted_resources(self, entry: str, now: float) -> Resources:
+        grant = self._grants.get(entry)
+        return grant.resources if grant is not None and grant.until > now else NO_RESOURCES
 
-    def _is_late(self, entry: str) -> bool:
-        """Whether an entry waits for room, and only with work that will be late."""
+    def _has_only_late_claims(self, entry: str) -> bool:
+        """Whether an entry has claims, and only for work that will be late."""
         claims = self._claims.get(entry, [])
         return bool(claims) and all(waiting.late for waiting in claims)
 
     def _unclaimed(self, free: Resources, now: float) -> Resources:
-        """Room that is left when every claim that can be granted has been."""
-        left = self._left(free)
-        if any(_part(w, self._open_to(w.late, left)) for w in self._open_claims(now)):
+        """Resources that are not granted; none while some claim could be granted."""
+        left = self._unallocated(free)
+        if any(
+            _usable_part(w, self._available_to(w.late, left)) for w in self._eligible_claims(now)
+        ):
             return NO_RESOURCES
         return left
 
 
-def _at_least_none(room: Resources) -> Resources:
-    return Resources(*(max(0, amount) for amount in room))
+def _clamp_to_zero(resources: Resources) -> Resources:
+    return Resources(*(max(0, amount) for amount in resources))
 
 
-def _part(waiting: Waiting, left: Resources) -> Resources | None:
-    """How much of what is left a claim can use; None when not even its smallest task fits."""
+def _usable_part(waiting: PendingClaim, left: Resources) -> Resources | None:
+    """Part of ``left`` that a claim can use; None if not even its smallest task fits."""
     need = waiting.need
     lacking = any(wanted > 0 and has <= 0 for has, wanted in zip(left, need, strict=True))
     if lacking or left.cpu < waiting.least_cpu:
@@ -201,26 +198,28 @@
     return Resources(*(min(has, wanted) for has, wanted in zip(left, need, strict=True)))
 
 
-def split(room: Resources, parts: int, task_cpu: int) -> list[Resources]:
-    """Split room into parts of whole tasks; the first ones get what cannot be split evenly; pure.
+def split_by_task(resources: Resources, parts: int, task_cpu: int) -> list[Resources]:
+    """Split resources into shares of whole tasks; the first get what cannot be split evenly.
 
-    Offered whole to each entry, the last room of an endpoint was a race as well.
+    Offered whole to each entry, the last free resources of an endpoint would be raced for.
 
     Examples
     --------
-    >>> [part.cpu for part in split(Resources(8000), 3, 2500)]
+    >>> [part.cpu for part in split_by_task(Resources(8000), 3, 2500)]
     [3000, 2500, 2500]
-    >>> [part.cpu for part in split(Resources(4000), 3, 2500)]
+    >>> [part.cpu for part in split_by_task(Resources(4000), 3, 2500)]
     [4000, 0, 0]
     """
-    if parts <= 1 or task_cpu <= 0 or room.cpu <= 0:
-        return [room] * parts
-    tasks = room.cpu // task_cpu
+    if parts <= 1 or task_cpu <= 0 or resources.cpu <= 0:
+        return [resources] * parts
+    tasks = resources.cpu // task_cpu
     each, extra = divmod(tasks, parts)
     cpus = [(each + (number < extra)) * task_cpu for number in range(parts)]
-    cpus[0] += room.cpu - tasks * task_cpu
-    return [_portion(room, cpu) for cpu in cpus]
+    cpus[0] += resources.cpu - tasks * task_cpu
+    return [_scaled_to_cpu(resources, cpu) for cpu in cpus]
 
 
-def _portion(room: Resources, cpu: int) -> Resources:
-    return Resources(cpu, room.mem_mb * cpu // room.cpu, -(-room.gpu * cpu // room.cpu))
+def _scaled_to_cpu(resources: Resources, cpu: int) -> Resources:
+    return Resources(
+        cpu, resources.mem_mb * cpu // resources.cpu, -(-resources.gpu * cpu // resources.cpu)
+    )
--- a/src/gentianmux/leased/run_monitor.py
+++ b/src/gentianmux/leased/run_monitor.py
@@ -1,44 +1,44 @@
-"""Watches how the runs at an agent's endpoint fare, and stops those that will not end well."""
+"""Monitors the runs at an agent's endpoint and stops those that will not end in time."""
 
 from .agent_context import AgentContext
 from .model import RunOutcome
 from .progress import SLOW_FACTOR
-from .run_stopper import RunStops
+from .run_stopper import RunStopper
 from .run_table import Phase, Run
 
 SLOW_MARGIN_MS = 100
-"""Milliseconds allowed on top, since progress is seen in steps of some 100 ms."""
+"""Tolerance for the resolution at which progress is observed."""
 
-MOVE_ON_DRAIN_S = 0.3
-"""Seconds that a run may exceed what a draining endpoint has left before it is moved."""
+DRAIN_OVERRUN_S = 0.3
+"""How far a run may exceed the time left at a draining endpoint before it is moved."""
 
 
-class RunWatch:
-    """Judges runs by their progress and by what a draining endpoint has left.
+class RunMonitor:
+    """Stops runs that stall or that a draining endpoint cannot finish.
 
     Parameters
     ----------
     ctx : AgentContext
-        The endpoint and its runs.
-    stops : RunStops
-        Stops what will not end well here.
+        Shared state of the agent.
+    stopper : RunStopper
+        Stops the runs that are found.
 
     Examples
     --------
-    ``watch.watch_progress()`` after each look.
+    ``monitor.check_progress()`` after each poll.
     """
 
-    def __init__(self, ctx: AgentContext, stops: RunStops) -> None:
+    def __init__(self, ctx: AgentContext, stopper: RunStopper) -> None:
         self._ctx = ctx
-        self._stops = stops
+        self._stopper = stopper
 
-    def watch_progress(self) -> None:
-        """Stop runs that stand still, and use an endpoint less on which most are slow."""
+    def check_progress(self) -> None:
+        """Stop stalled runs, and eject the endpoint while most of its runs are slow."""
         now = self._ctx.clock.now()
         running = [run for run in self._ctx.table.runs.values() if run.phase is Phase.RUNNING]
         stalled = [run for run in running if run.progress.is_stalled(now)]
         for run in stalled:
-            self._stops.stop(
+            self._stopper.stop(
                 run.key, RunOutcome.STALLED, f"no progress beyond {run.progress.percent:.0f} %"
             )
         if stalled:
@@ -48,21 +48,22 @@
         if len(slow) >= 2 and len(slow) * 2 > len(running):
             self._ctx.health.eject(now)
         if self._ctx.health.is_ejected(now):
-            self._ctx.reports.load_soon()
+            self._ctx.reporter.schedule_report()
 
     def _is_slow(self, run: Run, now: float) -> bool:
-        heading_ms = run.progress.heading_for_ms(now)
+        projected_ms = run.progress.heading_for_ms(now)
         return (
-            heading_ms is not None and heading_ms > SLOW_FACTOR * run.estimate_ms + SLOW_MARGIN_MS
+            projected_ms is not None
+            and projected_ms > SLOW_FACTOR * run.estimate_ms + SLOW_MARGIN_MS
         )
 
-    def move_what_cannot_end(self, remaining_s: float) -> None:
-        """Stop runs that the draining endpoint will not finish, so that they begin elsewhere."""
+    def stop_unfinishable(self, remaining_s: float) -> None:
+        """Stop runs that the draining endpoint will not finish, so that they run elsewhere."""
         now = self._ctx.clock.now()
         for run in list(self._ctx.table.runs.values()):
-            heading_ms = run.progress.heading_for_ms(now) or float(run.estimate_ms)
-            left_s = heading_ms / 1000 - (now - run.began)
-            if run.phase is Phase.RUNNING and left_s > remaining_s + MOVE_ON_DRAIN_S:
-                self._stops.stop(
-                    run.key, RunOutcome.STOPPED, "the endpoint leaves before it would end"
+            projected_ms = run.progress.heading_for_ms(now) or float(run.estimate_ms)
+            left_s = projected_ms / 1000 - (now - run.began)
+            if run.phase is Phase.RUNNING and left_s > remaining_s + DRAIN_OVERRUN_S:
+                self._stopper.stop(
+                    run.key, RunOutcome.STOPPED, "the endpoint drains before it would end"
                 )
--- a/src/gentianmux/leased/run_stopper.py
+++ b/src/gentianmux/leased/run_stopper.py
@@ -1,4 +1,4 @@
-"""Stops runs at an agent's endpoint, and tells it again until it has confirmed."""
+"""Stops runs at an agent's endpoint, repeating each command until it is confirmed."""
 
 from loguru import logger
 
@@ -7,46 +7,47 @@
 from .run_table import RunKey
 
 
-class RunStops:
-    """Stops runs that are not wanted or may not go on.
+class RunStopper:
+    """Stops runs that are no longer wanted or must not go on.
 
     Parameters
     ----------
     ctx : AgentContext
-        The endpoint and its runs.
+        Shared state of the agent.
 
     Examples
     --------
-    ``stops.stop(key, RunOutcome.STOPPED, "withdrawn")``, and ``stops.stop_due()`` once all are named.
+    ``stopper.stop(key, RunOutcome.STOPPED, "withdrawn")``, and ``stopper.send_due_stops()`` once
+    all runs to be stopped are marked.
     """
 
     def __init__(self, ctx: AgentContext) -> None:
         self._ctx = ctx
 
-    def stop(self, key: RunKey, why: RunOutcome, reason: str) -> None:
-        """Have a run stopped; it is gone only once a look has shown that."""
-        if self._ctx.table.want_stopped(key, why):
-            self._ctx.metrics.count("runs_stopped", label=why.name.lower())
+    def stop(self, key: RunKey, outcome: RunOutcome, reason: str) -> None:
+        """Mark a run to be stopped; it keeps its resources until a poll shows that it ended."""
+        if self._ctx.table.request_stop(key, outcome):
+            self._ctx.metrics.count("runs_stopped", label=outcome.name.lower())
             logger.bind(task=key[0], run=key[1], reason=reason).info("run stopped")
 
-    def stop_due(self) -> None:
-        """Tell the endpoint of the stops that it has not confirmed."""
+    def send_due_stops(self) -> None:
+        """Send the endpoint the stops that it has not confirmed."""
         for key in self._ctx.table.due_stops(self._ctx.clock.now()):
-            self._ctx.clock.call_soon(self._call_stop, key)
+            self._ctx.clock.call_soon(self._send_stop, key)
 
-    def _call_stop(self, key: RunKey) -> None:
+    def _send_stop(self, key: RunKey) -> None:
         if self._ctx.driver.stop(*key):
             self._ctx.table.stop_confirmed(key, self._ctx.clock.now())
-            if key in self._ctx.table.runs and self._ctx.table.runs[key].stop_why.never_ran:
-                self._ctx.poller.look_now()
+            if key in self._ctx.table.runs and self._ctx.table.runs[key].stop_outcome.never_ran:
+                self._ctx.poller.poll_now()
 
-    def stop_unechoed(self) -> None:
-        """Stop the runs of entries that no longer echo.
+    def stop_expired(self) -> None:
+        """Stop the runs of entries whose lease has expired.
 
-        Also before each renewal: a process that stood still may look before it checks the chains.
+        Called before each renewal too: a process that was paused may poll before it checks leases.
         """
         now = self._ctx.clock.now()
         for run in list(self._ctx.table.runs.values()):
-            if not self._ctx.reports.chain.holds(run.entry, now):
+            if not self._ctx.reporter.leases.holds(run.entry, now):
                 self.stop(run.key, RunOutcome.STOPPED, f"{run.entry} no longer echoes")
-        self.stop_due()
+        self.send_due_stops()
--- a/src/gentianmux/leased/run_table.py
+++ b/src/gentianmux/leased/run_table.py
@@ -1,4 +1,4 @@
-"""What an agent has asked its endpoint to run, from the order until the proof that it is gone."""
+"""Tracks the runs at an agent's endpoint, from the start command until proof that they ended."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -10,17 +10,16 @@
 from .resources import ResourcePool, Resources
 
 RunKey = tuple[str, int]
-"""A task's name and the number of its run."""
+"""Name of a task and number of its run."""
 
-MISSING_LOOKS = 2
-"""Looks in which a confirmed run is neither active nor ended before it is stopped for good."""
+MAX_MISSING_POLLS = 2
+"""Polls that may list a confirmed run as neither active nor ended before it is stopped."""
 
-STOP_AGAIN_S = 0.1
-"""Seconds between tries of a stop that the endpoint has not confirmed."""
+STOP_RETRY_INTERVAL_S = 0.1
 
 
 class Phase(Enum):
-    """How far a run is; room is held in all of them."""
+    """Phase of a run; it holds resources in all of them."""
 
     STARTING = "starting"
     DOUBTFUL = "doubtful"
@@ -30,14 +29,14 @@
 
 @dataclass
 class Run:
-    """One run at the endpoint, and for whom it runs.
+    """A run at the endpoint, assigned by an entry.
 
     Attributes
     ----------
     listed : bool
-        Whether a look has shown it at work.
-    carried : bool
-        Whether it was ordered before the endpoint started again: it may have run, and ended then.
+        Whether a poll has shown it as active.
+    carried_over : bool
+        Whether it was started before the endpoint restarted: it may have run, and ended then.
     """
 
     key: RunKey
@@ -47,31 +46,31 @@
     began: float
     phase: Phase = Phase.STARTING
     answered_at: float = 0.0
-    stop_why: RunOutcome = RunOutcome.STOPPED
+    stop_outcome: RunOutcome = RunOutcome.STOPPED
     stopped_at: float | None = None
     listed: bool = False
-    carried: bool = False
-    missing: int = 0
+    carried_over: bool = False
+    missing_polls: int = 0
     progress: RunProgress = field(default_factory=lambda: RunProgress(0.0))
 
     @property
     def confirmed(self) -> bool:
-        """Whether the endpoint has said that it runs, and it has not been told to stop."""
+        """Whether the endpoint has confirmed that it runs, and no stop was requested."""
         return self.phase is Phase.RUNNING
 
 
-class Finished(NamedTuple):
-    """A run that is gone, and how."""
+class FinishedRun(NamedTuple):
+    """A run that has ended, and its outcome."""
 
     run: Run
     how: RunOutcome
 
 
 class RunTable:
-    """The account of one endpoint's runs; pure, fed with answers and looks.
+    """Runs of one endpoint, updated with its replies; it does no I/O.
 
-    Room returns only on proof: an end that the endpoint lists, a start that it refused, or a
-    confirmed stop followed by a look that no longer shows the run.
+    Resources are released only on proof that a run is gone: it is listed as ended, its start was
+    refused, or its stop was confirmed and a later poll no longer lists it.
 
     Examples
     --------
@@ -79,127 +78,131 @@
     >>> table.reset(Resources(2000, 64))
     >>> table.begin(("t", 1), "e1", Resources(1600, 64), 100, now=0.0)
     True
-    >>> table.room.free.cpu
+    >>> table.resources.free.cpu
     400
     """
 
     def __init__(self) -> None:
         self.runs: dict[RunKey, Run] = {}
-        self.room = ResourcePool()
+        self.resources = ResourcePool()
         self.acknowledged = 0
-        self.foreign: set[RunKey] = set()
-        self.looked = False
-        self._stop_asked: dict[RunKey, float] = {}
+        self.unknown_runs: set[RunKey] = set()
+        self.is_polled = False
+        self._stop_sent_at: dict[RunKey, float] = {}
 
     def reset(self, capacity: Resources) -> None:
-        """Begin with another life of the endpoint, which runs nothing of ours."""
+        """Start over with another endpoint, which has no runs of this agent."""
         self.runs.clear()
-        self.room = ResourcePool(capacity)
+        self.resources = ResourcePool(capacity)
         self.acknowledged = 0
-        self.foreign = set()
-        self.looked = False
+        self.unknown_runs = set()
+        self.is_polled = False
 
-    def turn_over(self) -> list[Finished]:
-        """Begin with a later life of the endpoint, and end what the earlier one was seen to run.
+    def begin_incarnation(self) -> list[FinishedRun]:
+        """Start over with a later incarnation, and return the runs lost with the earlier one.
 
-        A start that no look has shown may have reached either life. It keeps its room until looks
-        at the later one tell, and is never reported as one that did nothing.
+        A run that no poll has listed may have reached either incarnation. It keeps its resources
+        until polls of the later one decide, and is never reported as not run.
         """
-        finished = self._lose([run.key for run in self.runs.values() if run.listed])
+        finished = self._mark_lost([run.key for run in self.runs.values() if run.listed])
         for run in self.runs.values():
-            run.carried = True
+            run.carried_over = True
             run.stopped_at = None
-            if run.stop_why.never_ran:
-                run.stop_why = RunOutcome.LOST
+            if run.stop_outcome.never_ran:
+                run.stop_outcome = RunOutcome.LOST
         self.acknowledged = 0
-        self.foreign = set()
-        self.looked = False
+        self.unknown_runs = set()
+        self.is_polled = False
         return finished
 
     @property
-    def is_clean(self) -> bool:
-        """Whether the endpoint was looked at and runs nothing that an earlier agent began."""
-        return self.looked and not self.foreign
+    def is_reconciled(self) -> bool:
+        """Whether the endpoint was polled and has no runs that an earlier agent started."""
+        return self.is_polled and not self.unknown_runs
 
     def begin(self, key: RunKey, entry: str, need: Resources, estimate_ms: int, now: float) -> bool:
-        """Take room for a run about to be started; false when there is none."""
-        if key in self.runs or not self.room.allocate(key, need):
+        """Allocate resources for a run about to be started; false if they are not free."""
+        if key in self.runs or not self.resources.allocate(key, need):
             return False
         self.runs[key] = Run(key, entry, need, estimate_ms, now, progress=RunProgress(now))
         return True
 
     def runs_of_task(self, task: str) -> list[Run]:
-        """Runs of a task that are not yet gone."""
+        """Runs of a task that have not ended."""
         return [run for run in self.runs.values() if run.key[0] == task]
 
     def of_entry(self, entry: str) -> list[Run]:
-        """Runs that an entry answers for."""
+        """Runs that an entry assigned."""
         return [run for run in self.runs.values() if run.entry == entry]
 
     def started(self, key: RunKey, now: float) -> None:
-        """Note that the endpoint confirmed a start."""
+        """Record that the endpoint confirmed a start."""
         run = self.runs.get(key)
         if run is not None:
             run.answered_at = now
             if run.phase is Phase.STARTING:
                 run.phase = Phase.RUNNING
 
-    def refused(self, key: RunKey, how: RunOutcome) -> Finished | None:
-        """Note that the endpoint refused a start, which proves that it did nothing."""
+    def refused(self, key: RunKey, how: RunOutcome) -> FinishedRun | None:
+        """Record that the endpoint refused a start, which proves that the run did nothing."""
         return self._finish(key, how)
 
     def unanswered(self, key: RunKey, now: float) -> None:
-        """Note that a start got no answer: it may be done already, later, or never."""
+        """Record that a start got no answer: the run may have started, may yet start, or never."""
         run = self.runs.get(key)
         if run is not None and run.phase is Phase.STARTING:
             run.phase = Phase.DOUBTFUL
             run.answered_at = now
 
-    def want_stopped(self, key: RunKey, why: RunOutcome) -> bool:
-        """Mark a run to be stopped; false when it is gone or being stopped."""
+    def request_stop(self, key: RunKey, outcome: RunOutcome) -> bool:
+        """Mark a run to be stopped; false if it has ended or is being stopped."""
         run = self.runs.get(key)
         if run is None or run.phase is Phase.STOPPING:
             return False
         run.phase = Phase.STOPPING
-        run.stop_why = why
+        run.stop_outcome = outcome
         return True
 
     def stop_confirmed(self, key: RunKey, now: float) -> None:
-        """Note that the endpoint will not begin this run any more, and is ending it."""
+        """Record that the endpoint is ending this run, or will not start it any more."""
         run = self.runs.get(key)
         if run is not None and run.stopped_at is None:
             run.stopped_at = now
 
     def due_stops(self, now: float) -> list[RunKey]:
-        """Runs, also foreign ones, to be told to stop now; each again only after a pause."""
+        """Runs, unknown ones included, for which a stop or a retry of it is due."""
         mine = {
             run.key
             for run in self.runs.values()
             if run.phase is Phase.STOPPING and run.stopped_at is None
         }
-        wanted = mine | self.foreign
+        wanted = mine | self.unknown_runs
         if not wanted:
-            self._stop_asked.clear()
+            self._stop_sent_at.clear()
             return []
-        self._stop_asked = {key: at for key, at in self._stop_asked.items() if key in wanted}
-        due = [k for k in sorted(wanted) if now - self._stop_asked.get(k, 0.0) >= STOP_AGAIN_S]
-        self._stop_asked.update(dict.fromkeys(due, now))
+        self._stop_sent_at = {key: at for key, at in self._stop_sent_at.items() if key in wanted}
+        due = [
+            k
+            for k in sorted(wanted)
+            if now - self._stop_sent_at.get(k, 0.0) >= STOP_RETRY_INTERVAL_S
+        ]
+        self._stop_sent_at.update(dict.fromkeys(due, now))
         return due
 
-    def looked_at(self, reply: HoldReply, now: float) -> list[Finished]:
-        """Take in an endpoint's lists and return the runs that are now proved gone."""
-        self.looked = True
-        finished = list(self._take_ends(reply))
+    def apply_poll(self, reply: HoldReply, now: float) -> list[FinishedRun]:
+        """Apply an endpoint's lists, and return the runs that are now proved to have ended."""
+        self.is_polled = True
+        finished = list(self._apply_ended(reply))
         active = {(row.task, row.run): row.percent for row in reply.active}
-        self.foreign = {key for key in active if key not in self.runs}
+        self.unknown_runs = {key for key in active if key not in self.runs}
         for run in list(self.runs.values()):
             if run.key in active:
-                self._seen_active(run, active[run.key], now)
+                self._mark_active(run, active[run.key], now)
             else:
-                finished += self._not_listed(run, reply.asked_at)
+                finished += self._check_unlisted(run, reply.asked_at)
         return finished
 
-    def _take_ends(self, reply: HoldReply) -> Iterator[Finished]:
+    def _apply_ended(self, reply: HoldReply) -> Iterator[FinishedRun]:
         for row in reply.ended:
             if row.number <= self.acknowledged:
                 continue
@@ -207,46 +210,48 @@
             run = self.runs.get((row.task, row.run))
             if run is None:
                 continue
-            how = run.stop_why if row.how is RunOutcome.STOPPED else row.how
-            # A run that did begin is never reported as one that did nothing.
+            how = run.stop_outcome if row.how is RunOutcome.STOPPED else row.how
+            # A run that has started is never reported as not run.
             how = RunOutcome.STOPPED if how.never_ran else how
             done = self._finish(run.key, how)
             if done is not None:
                 yield done
 
-    def _seen_active(self, run: Run, percent: float, now: float) -> None:
-        run.missing = 0
+    def _mark_active(self, run: Run, percent: float, now: float) -> None:
+        run.missing_polls = 0
         run.listed = True
         run.progress = run.progress.seen(percent, now)
         if run.phase in (Phase.STARTING, Phase.DOUBTFUL):
             run.phase = Phase.RUNNING
             run.answered_at = now
-        if run.phase is Phase.STOPPING and run.stop_why.never_ran:
-            run.stop_why = RunOutcome.STOPPED
+        if run.phase is Phase.STOPPING and run.stop_outcome.never_ran:
+            run.stop_outcome = RunOutcome.STOPPED
 
-    def _not_listed(self, run: Run, asked_at: float) -> Iterator[Finished]:
+    def _check_unlisted(self, run: Run, asked_at: float) -> Iterator[FinishedRun]:
         if run.phase is Phase.DOUBTFUL and asked_at > run.answered_at:
-            self.want_stopped(run.key, RunOutcome.LOST if run.carried else RunOutcome.NOT_STARTED)
+            self.request_stop(
+                run.key, RunOutcome.LOST if run.carried_over else RunOutcome.NOT_STARTED
+            )
         elif run.phase is Phase.RUNNING and asked_at > run.answered_at:
-            run.missing += 1
-            if run.missing >= MISSING_LOOKS:
-                self.want_stopped(run.key, RunOutcome.LOST)
+            run.missing_polls += 1
+            if run.missing_polls >= MAX_MISSING_POLLS:
+                self.request_stop(run.key, RunOutcome.LOST)
         elif run.stopped_at is not None and asked_at > run.stopped_at:
-            done = self._finish(run.key, run.stop_why)
+            done = self._finish(run.key, run.stop_outcome)
             if done is not None:
                 yield done
 
-    def lose_all(self) -> list[Finished]:
-        """End every run: its endpoint's life, or every lease, is over."""
-        return self._lose(list(self.runs))
+    def mark_all_lost(self) -> list[FinishedRun]:
+        """End every run as lost: the endpoint is gone, or every lease has expired."""
+        return self._mark_lost(list(self.runs))
 
-    def _lose(self, keys: list[RunKey]) -> list[Finished]:
+    def _mark_lost(self, keys: list[RunKey]) -> list[FinishedRun]:
         finished = [self._finish(key, RunOutcome.LOST) for key in keys]
         return [each for each in finished if each is not None]
 
-    def _finish(self, key: RunKey, how: RunOutcome) -> Finished | None:
+    def _finish(self, key: RunKey, how: RunOutcome) -> FinishedRun | None:
         run = self.runs.pop(key, None)
         if run is None:
             return None
-        self.room.release(key)
-        return Finished(run, how)
+        self.resources.release(key)
+        return FinishedRun(run, how)
--- a/src/gentianmux/leased/shutdown.py
+++ b/src/gentianmux/leased/shutdown.py
@@ -1,20 +1,20 @@
-"""What a process that was told to stop may still begin."""
+"""Decides which work a process that was told to stop may still begin."""
 
-ALLOWANCE = 1.5
-"""How many times its estimate work may take; estimates are off by up to 40 %."""
+ESTIMATE_FACTOR = 1.5
+"""Assumed run time of work, as a multiple of its estimate."""
 
-SPARE_S = 0.2
-"""Seconds on top, for placing and answering."""
+SHUTDOWN_MARGIN_S = 0.2
+"""Additional time for placing the work and answering."""
 
 UNBOUNDED_ESTIMATE_MS = 2**31 - 1
-"""The longest estimate that a process takes while nobody has told it to stop, in ms."""
+"""Longest estimate that a process accepts before it is told to stop."""
 
 
 def finishes_before_shutdown(estimate_s: float, left_s: float) -> bool:
-    """Whether work can be expected to end before its process does."""
-    return estimate_s * ALLOWANCE + SPARE_S < left_s
+    """Whether work can be expected to end in the time left to its process."""
+    return estimate_s * ESTIMATE_FACTOR + SHUTDOWN_MARGIN_S < left_s
 
 
-def longest_ms(left_s: float) -> int:
-    """The longest estimate, in ms, that can be expected to end in the time left; 0 for none."""
-    return max(0, int((left_s - SPARE_S) / ALLOWANCE * 1000))
+def max_estimate_ms(left_s: float) -> int:
+    """Longest estimate, in ms, of work that can be expected to end in the time left; 0 for none."""
+    return max(0, int((left_s - SHUTDOWN_MARGIN_S) / ESTIMATE_FACTOR * 1000))
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -1,13 +1,7 @@
-"""Endpoints that start again under the id that they had: nothing known of before still holds.
-
-What users saw: tasks began at an endpoint two seconds after it had said that it drains and its
-agent had acknowledged that; before it, every run there was reported as lost and begun again
-elsewhere. Order of events: the endpoint crashed, started again under the same id and counted its
-heartbeats and the ends of its runs from 1; its agent answered, since the endpoint's id was the one
-that it knew; the endpoint said that it drains. Cause: the agent told lives of an endpoint apart by
-their id alone, so it kept the counts of the earlier one, passed over the word as overtaken and the
-ends as known. Evidence: in the agent's log "endpoint answers" without "endpoint found" after the
-crash, no "endpoint drains" after the acknowledgement, and no end but "lost" from the crash on.
+"""An endpoint that restarts under its id is a new incarnation: nothing is carried over to it.
+
+Guards against heartbeats and ended runs of the new incarnation, numbered from 1 again, being taken
+for known ones: tasks then begin at a draining endpoint, and finished runs are reported as lost.
 """
 
 from collections.abc import Iterator
@@ -28,7 +22,7 @@
 from gentianmux.leased.agent import Agent
 from gentianmux.leased.directory import Announcement, decode_announcement
 from gentianmux.leased.fleet_view import PlacementRequest
-from gentianmux.leased.heartbeat_kind import Word, judge
+from gentianmux.leased.heartbeat_kind import HeartbeatKind, classify_heartbeat
 from gentianmux.leased.job_state import JobOutcome
 from gentianmux.leased.model import (
     ActiveRun,
@@ -62,7 +56,7 @@
         running.stop()
 
 
-def test_an_endpoint_that_started_again_is_heard_when_it_drains() -> None:
+def test_restarted_endpoint_that_drains_gets_no_runs() -> None:
     world = ready_world(agents=2)
     world.run(5.0)
     world.restart_endpoint("w0", down_s=1.0)
@@ -78,9 +72,9 @@
     assert_invariants_hold(world)
 
 
-# At 1.0 s its heartbeat is the first that the agent hears of it, at 1.2 s its answer to a look.
+# After 1.0 s the agent finds the restart by a heartbeat, after 1.2 s by the answer to a poll.
 @pytest.mark.parametrize("down_s", [1.0, 1.2])
-def test_runs_at_an_endpoint_that_started_again_are_done_once(down_s: float) -> None:
+def test_runs_at_restarted_endpoint_complete_once(down_s: float) -> None:
     world = ready_world(agents=1)
     before = [world.submit("e0", tasks=8, run_s=0.1) for _ in range(3)]
     world.run(2.0)
@@ -93,7 +87,7 @@
     assert_invariants_hold(world)
 
 
-def test_an_agent_follows_its_endpoint_through_a_start(deployment: Deployment) -> None:
+def test_agent_follows_its_endpoint_through_a_restart(deployment: Deployment) -> None:
     endpoint = deployment.endpoints["side-0"]
     for number in range(4):
         assert deployment.submit(f"00000000000000a{number}", job_body()) == (200, COMPLETED)
@@ -108,7 +102,7 @@
     assert len(endpoint.starts) == before + 4
 
 
-def test_an_agent_started_after_its_endpoint_is_not_locked_out_by_a_lower_clock(
+def test_agent_started_after_endpoint_restart_is_not_fenced_by_lower_clock(
     deployment: Deployment,
 ) -> None:
     endpoint = deployment.endpoints["side-0"]
@@ -116,7 +110,7 @@
     endpoint.restart(clock_start_ms=1)
     gevent.sleep(0.8)
     assert deployment.submit("00000000000000c2", job_body()) == (200, COMPLETED)
-    # The earlier clock began 5 s higher, and so did the fence that the present life has seen.
+    # The earlier clock, and so the fence that the present incarnation has seen, began 5 s higher.
     assert endpoint.fence > endpoint.clock_ms()
     deployment.processes["side-0"].kill()
     deployment.processes["side-0"].wait()
@@ -127,7 +121,7 @@
     assert len(endpoint.starts) == before + 4
 
 
-# What a heartbeat is
+# Kinds of heartbeats
 
 FIRST = EndpointReport(
     "i-1", "10.0.0.1:80", "s", "fd", Resources(8, 8), (), False, 0.0, sequence=9, born=100
@@ -135,31 +129,31 @@
 
 
 @pytest.mark.parametrize(
-    "change, word",
+    "change, kind",
     [
-        ({"sequence": 10}, Word.CURRENT),
-        ({"sequence": 8}, Word.OVERTAKEN),
-        ({"sequence": 1, "born": 200}, Word.STARTED_AGAIN),
-        ({"sequence": 10, "born": 200}, Word.STARTED_AGAIN),
-        ({"sequence": 10, "born": 99}, Word.ENDED),
-        ({"sequence": 10, "born": 0}, Word.FOREIGN),
-        ({"endpoint": "i-2", "born": 200}, Word.OTHER),
+        ({"sequence": 10}, HeartbeatKind.CURRENT),
+        ({"sequence": 8}, HeartbeatKind.OVERTAKEN),
+        ({"sequence": 1, "born": 200}, HeartbeatKind.RESTARTED),
+        ({"sequence": 10, "born": 200}, HeartbeatKind.RESTARTED),
+        ({"sequence": 10, "born": 99}, HeartbeatKind.ENDED),
+        ({"sequence": 10, "born": 0}, HeartbeatKind.WITHOUT_START),
+        ({"endpoint": "i-2", "born": 200}, HeartbeatKind.OTHER_ENDPOINT),
     ],
 )
-def test_a_heartbeat_is_judged_by_its_endpoints_start_before_its_number(
-    change: dict[str, object], word: Word
+def test_heartbeat_is_classified_by_start_before_sequence_number(
+    change: dict[str, object], kind: HeartbeatKind
 ) -> None:
-    assert judge(FIRST._replace(**change), FIRST) is word  # type: ignore[arg-type]
-    assert judge(FIRST, None) is Word.OTHER
+    assert classify_heartbeat(FIRST._replace(**change), FIRST) is kind  # type: ignore[arg-type]
+    assert classify_heartbeat(FIRST, None) is HeartbeatKind.OTHER_ENDPOINT
 
 
-def test_heartbeats_without_a_start_are_judged_by_their_number() -> None:
+def test_heartbeats_without_start_are_classified_by_sequence_number() -> None:
     untold = FIRST._replace(born=0)
-    assert judge(untold._replace(sequence=8), untold) is Word.OVERTAKEN
-    assert judge(untold._replace(sequence=10), untold) is Word.CURRENT
+    assert classify_heartbeat(untold._replace(sequence=8), untold) is HeartbeatKind.OVERTAKEN
+    assert classify_heartbeat(untold._replace(sequence=10), untold) is HeartbeatKind.CURRENT
 
 
-# The agent
+# Agent
 
 
 def agent_of(world: World, name: str = "w0") -> Agent:
@@ -168,7 +162,7 @@
     return agent
 
 
-def test_an_endpoint_that_drained_before_it_crashed_is_used_after_its_start() -> None:
+def test_endpoint_that_drained_before_crash_is_used_after_restart() -> None:
     world = ready_world(agents=1)
     world.machines["w0"].endpoint.draining = True
     world.run(1.0)
@@ -178,7 +172,7 @@
     assert agent_of(world).is_accepting
 
 
-def test_an_endpoint_may_start_again_with_another_size_and_service() -> None:
+def test_endpoint_may_restart_with_other_capacity_and_service() -> None:
     world = ready_world(agents=1)
     world.run(1.0)
     agent = agent_of(world)
@@ -191,24 +185,24 @@
     agent._ctx.feed.current = None
     agent.on_report(later)
     assert agent.report == later
-    assert agent.table.room.capacity == Resources(4000, 999, 0)
+    assert agent.table.resources.capacity == Resources(4000, 999, 0)
 
 
-def test_nothing_begins_at_a_life_that_has_answered_but_not_reported() -> None:
+def test_no_run_begins_at_incarnation_without_heartbeat() -> None:
     world = ready_world(agents=1)
     agent = agent_of(world)
     world.run(0.05)
     world.restart_endpoint("w0", down_s=0.01)
-    # A look that met silence takes 0.24 s; the next heartbeat comes 0.45 s from here.
+    # An unanswered poll takes 0.24 s; the next heartbeat comes 0.45 s from here.
     world.run(0.3)
     assert agent.report is None
-    assert agent.poller.answering
+    assert agent.poller.is_responsive
     assert not agent.is_accepting
     world.run(0.6)
     assert agent.is_accepting
 
 
-def test_a_late_heartbeat_of_an_earlier_life_under_the_same_id_changes_nothing() -> None:
+def test_late_heartbeat_of_earlier_incarnation_under_same_id_is_ignored() -> None:
     world = ready_world(agents=1)
     late = world.report_of(world.machines["w0"], draining=True)
     world.restart_endpoint("w0", down_s=0.5)
@@ -224,7 +218,7 @@
     assert world.starts == 6
 
 
-def test_a_heartbeat_that_tells_a_false_start_loses_no_run() -> None:
+def test_heartbeat_with_false_start_loses_no_run() -> None:
     world = ready_world(agents=1)
     job = world.submit("e0", tasks=6, run_s=0.5)
     world.run(0.2)
@@ -237,7 +231,7 @@
     assert world.starts == 6
 
 
-def test_an_endpoint_whose_time_of_day_was_set_back_is_followed_all_the_same() -> None:
+def test_endpoint_with_wall_clock_set_back_is_still_tracked() -> None:
     world = ready_world(agents=1)
     world.restart_endpoint("w0", down_s=0.2)
     world.run(0.3)
@@ -250,7 +244,7 @@
 
 
 @pytest.mark.parametrize("same_id", [True, False])
-def test_a_first_heartbeat_counts_although_a_look_finds_its_life_while_it_is_checked(
+def test_first_heartbeat_is_accepted_if_poll_finds_its_incarnation_first(
     same_id: bool,
 ) -> None:
     world = ready_world(agents=1)
@@ -278,7 +272,7 @@
 
 
 @pytest.mark.parametrize("told", [True, False])
-def test_a_late_farewell_of_an_earlier_life_loses_no_run(told: bool) -> None:
+def test_late_shutdown_notice_of_earlier_incarnation_loses_no_run(told: bool) -> None:
     world = ready_world(agents=1)
     earlier = world.machines["w0"].endpoint
     world.restart_endpoint("w0", down_s=0.5)
@@ -292,11 +286,11 @@
     assert_invariants_hold(world)
 
 
-def test_a_start_that_reached_a_later_life_outlives_the_farewell_of_the_earlier_one() -> None:
+def test_start_that_reached_later_incarnation_survives_shutdown_notice_of_earlier_one() -> None:
     world = ready_world(agents=2)
     machine = world.machines["w0"]
     earlier = machine.endpoint
-    # The agent stands still while its endpoint starts again, so it has not heard of that.
+    # The agent is paused while its endpoint restarts, so it does not know of the restart.
     world.freeze(world.process_of("w0"), 0.2)
     world.restart_endpoint("w0", down_s=0.05)
     world.run(0.2)
@@ -311,7 +305,7 @@
     assert_invariants_hold(world)
 
 
-def test_the_farewell_of_the_present_life_is_believed() -> None:
+def test_shutdown_notice_of_current_incarnation_is_accepted() -> None:
     world = ready_world(agents=1)
     endpoint = world.machines["w0"].endpoint
     agent_of(world).on_shutdown_notice(endpoint.name, endpoint.born)
@@ -321,7 +315,7 @@
     assert not agent_of(world).is_accepting
 
 
-def test_a_start_that_was_not_sent_before_the_endpoint_started_again_is_not_sent() -> None:
+def test_start_not_sent_before_endpoint_restart_is_dropped() -> None:
     world = ready_world(agents=1)
     agent = agent_of(world)
     endpoint = world.machines["w0"].endpoint
@@ -331,7 +325,7 @@
     agent.on_message(Assign(echo, 1, [task], [], [pack("x")]), "e0.1")
     assert (task.name, 1) in agent.table.runs
     endpoint.born += 1
-    agent.tracker.started_again(endpoint.born)
+    agent.tracker.on_restarted(endpoint.born)
     world.run(0.1)
     assert world.starts == 0
     assert agent.table.runs == {}
@@ -339,7 +333,7 @@
 
 @pytest.mark.parametrize("down_s", [0.0, 0.004, 0.05, 0.3, 1.2])
 @pytest.mark.parametrize("after_s", [0.001, 0.005, 0.03, 0.2])
-def test_runs_on_their_way_while_the_endpoint_starts_again_run_once_at_a_time(
+def test_starts_in_flight_during_endpoint_restart_never_overlap(
     down_s: float, after_s: float
 ) -> None:
     world = ready_world(agents=2)
@@ -352,7 +346,7 @@
 
 
 @pytest.mark.parametrize("seed", [*range(24), 38, 77, 88, 93, 160, 278, 301, 334, 429, 2005])
-def test_random_walks_with_endpoints_that_start_again_drain_and_leave(seed: int) -> None:
+def test_random_walks_with_endpoint_restarts_drains_and_shutdowns(seed: int) -> None:
     world = ready_world(agents=5, entries=3, seed=seed)
     rng = Random(seed)
     for _ in range(60):
@@ -387,13 +381,13 @@
 def _arrive_late(
     world: World, name: str, report: EndpointReport, farewell: tuple[str, int]
 ) -> None:
-    """Let the last words of an earlier life arrive, unless nobody is there to take them."""
+    """Deliver the last messages of an earlier incarnation, if the agent is alive."""
     if world.process_of(name) in world.alive:
         agent_of(world, name).on_report(report)
         agent_of(world, name).on_shutdown_notice(*farewell)
 
 
-# The account of runs
+# Run table
 
 
 def table_with(*runs: str) -> RunTable:
@@ -404,39 +398,39 @@
     return table
 
 
-def test_the_ends_of_a_later_life_count_anew() -> None:
+def test_ended_runs_of_later_incarnation_are_numbered_anew() -> None:
     table = table_with("a")
-    table.looked_at(HoldReply(1.0, (), (EndRecord(50, "z", 1, RunOutcome.DONE),)), 1.0)
+    table.apply_poll(HoldReply(1.0, (), (EndRecord(50, "z", 1, RunOutcome.DONE),)), 1.0)
     assert table.acknowledged == 50
-    table.turn_over()
+    table.begin_incarnation()
     table.started(("a", 1), 1.1)
-    (done,) = table.looked_at(HoldReply(1.2, (), (EndRecord(1, "a", 1, RunOutcome.DONE),)), 1.2)
+    (done,) = table.apply_poll(HoldReply(1.2, (), (EndRecord(1, "a", 1, RunOutcome.DONE),)), 1.2)
     assert (done.run.key, done.how) == (("a", 1), RunOutcome.DONE)
     assert table.acknowledged == 1
 
 
-def test_what_the_earlier_life_was_seen_to_run_is_lost_and_what_may_be_under_way_is_kept() -> None:
+def test_restart_loses_listed_runs_and_keeps_unlisted_ones() -> None:
     table = table_with("seen", "confirmed", "doubtful")
     table.started(("seen", 1), 1.0)
-    table.looked_at(HoldReply(1.1, (ActiveRun("seen", 1, 10.0),), ()), 1.1)
+    table.apply_poll(HoldReply(1.1, (ActiveRun("seen", 1, 10.0),), ()), 1.1)
     table.started(("confirmed", 1), 1.1)
     table.unanswered(("doubtful", 1), 1.1)
-    assert [(done.run.key[0], done.how) for done in table.turn_over()] == [
+    assert [(done.run.key[0], done.how) for done in table.begin_incarnation()] == [
         ("seen", RunOutcome.LOST)
     ]
-    assert table.room.free == Resources(8000 - 2 * 1600, 800 - 2 * 64)
-    assert not table.is_clean
+    assert table.resources.free == Resources(8000 - 2 * 1600, 800 - 2 * 64)
+    assert not table.is_reconciled
     active = (ActiveRun("confirmed", 1, 5.0),)
-    assert table.looked_at(HoldReply(1.3, active, ()), 1.3) == []
+    assert table.apply_poll(HoldReply(1.3, active, ()), 1.3) == []
     assert table.due_stops(1.3) == [("doubtful", 1)]
     table.stop_confirmed(("doubtful", 1), 1.35)
-    (gone,) = table.looked_at(HoldReply(1.4, active, ()), 1.4)
-    # It may have run in the earlier life: that it did nothing is not proved.
+    (gone,) = table.apply_poll(HoldReply(1.4, active, ()), 1.4)
+    # It may have run in the earlier incarnation, so it must not be reported as not run.
     assert (gone.run.key[0], gone.how) == ("doubtful", RunOutcome.LOST)
     assert list(table.runs) == [("confirmed", 1)]
 
 
-# The driver
+# Driver
 
 
 def report_of(app: PlatformEndpointApp) -> EndpointReport:
@@ -445,7 +439,7 @@
 
 @contextmanager
 def attached() -> Iterator[tuple[PlatformEndpointApp, PlatformEndpoint]]:
-    """An endpoint, and a driver whose fence it has seen."""
+    """Yield an endpoint and a driver that is attached to it."""
     app = PlatformEndpointApp("i-1")
     with served(app) as address:
         driver = PlatformEndpoint(address, 0.05)
@@ -454,7 +448,7 @@
         yield app, driver
 
 
-def test_a_look_tells_that_the_endpoint_has_started_again() -> None:
+def test_poll_detects_endpoint_restart() -> None:
     with attached() as (app, driver):
         gevent.sleep(0.01)
         app.restart()
@@ -472,7 +466,7 @@
 
 
 @pytest.mark.parametrize("told_ms", [-9, 9])
-def test_who_answers_a_look_is_at_work_whatever_was_told_of_its_start(told_ms: int) -> None:
+def test_incarnation_that_answers_poll_is_current_whatever_start_was_reported(told_ms: int) -> None:
     app = PlatformEndpointApp("i-1")
     with served(app) as address:
         driver = PlatformEndpoint(address, 0.05)
@@ -482,7 +476,7 @@
         assert caught.value.born == app.born
 
 
-def test_a_probe_of_another_endpoint_leaves_it_no_fence() -> None:
+def test_probe_sets_no_fence_at_other_endpoint() -> None:
     earlier, later = PlatformEndpointApp("i-1"), PlatformEndpointApp("i-2")
     with served(earlier) as address, served(later) as other:
         driver = PlatformEndpoint(address, 0.05)
@@ -494,25 +488,25 @@
         assert later.fence == 0
 
 
-def test_a_probe_refused_for_its_fence_tells_nothing_of_a_known_id() -> None:
+def test_fenced_off_probe_is_inconclusive_for_known_id() -> None:
     with attached() as (app, driver):
         app.fence *= 2
         assert driver.is_present(report_of(app)._replace(born=app.born + 9)) is None
 
 
-def test_leases_are_counted_by_the_clock_of_the_present_life() -> None:
+def test_leases_use_clock_of_current_incarnation() -> None:
     with attached() as (app, driver):
         app.restart(clock_start_ms=70)
         driver.attach(report_of(app))
         with pytest.raises(NoAnswer):
             driver.hold(0, 0.0, 0.0, 1.0)
         driver.hold(0, 0.0, 0.0, 1.0)
-        # Sent 0.4 s after it was decided, under a lease of 0.2 s: refused as late.
+        # Sent 0.4 s after it was decided, under a lease of 0.2 s, so it is refused.
         verdict = driver.start("t", 2, SPEC, 0.2, monotonic() - 0.4)
         assert verdict is StartResult.REFUSED
 
 
-def test_a_late_answer_of_the_earlier_life_sets_no_clock() -> None:
+def test_late_answer_of_earlier_incarnation_sets_no_clock() -> None:
     with attached() as (app, driver):
 
         def answer_late(*_: object) -> HttpReply:
@@ -526,14 +520,14 @@
 
 
 @pytest.mark.parametrize("attached_before", [True, False])
-def test_a_lower_clock_after_a_start_locks_no_agent_out(attached_before: bool) -> None:
+def test_lower_clock_after_restart_fences_off_no_agent(attached_before: bool) -> None:
     app = PlatformEndpointApp("i-1")
     with served(app) as address:
         earlier = PlatformEndpoint(address, 0.05)
         earlier.attach(report_of(app))
         earlier.hold(0, 0.0, 0.5, 1.0)
         app.restart(clock_start_ms=3)
-        # Meant for the earlier life: the present one now knows the earlier fence.
+        # A command for the earlier incarnation gives the present one the earlier fence.
         while not earlier.stop("t", 1):
             continue
         assert app.fence > app.clock_ms()
@@ -549,26 +543,26 @@
 
 
 @pytest.mark.parametrize("body, born", [(b"", 0), (b"{}", 0), (b'{"born": 12}', 12)])
-def test_a_farewell_may_tell_the_start(body: bytes, born: int) -> None:
+def test_shutdown_notice_may_carry_start(body: bytes, born: int) -> None:
     assert decode_shutdown_notice(body) == born
 
 
 @pytest.mark.parametrize("body", [b"[]", b'{"born": "12"}', b'{"born": -1}', b'{"born": 1.5}'])
-def test_a_farewell_that_cannot_be_read_is_refused(body: bytes) -> None:
+def test_malformed_shutdown_notice_is_rejected(body: bytes) -> None:
     with pytest.raises(ValueError):
         decode_shutdown_notice(body)
 
 
 @pytest.mark.parametrize("born", ["1", 1.5, None, True, -1, [1]])
-def test_a_heartbeat_with_a_foreign_start_is_none(born: object) -> None:
+def test_heartbeat_with_malformed_start_is_rejected(born: object) -> None:
     with pytest.raises(ValueError):
         decode_heartbeat("i-1", {**REPORT, "born": born}, "10.0.0.1:80")
 
 
-# Entries and store
+# Entries and announcements
 
 
-def test_what_is_held_against_an_endpoint_ends_when_it_starts_again() -> None:
+def test_avoided_endpoint_is_eligible_again_after_restart() -> None:
     view = fleet(1.0, {"a": 16000})
     agent = view.agents["a.1"]
     assert agent.state is not None
@@ -579,7 +573,7 @@
     assert view.choose(request, view.eligible("s", 1.0)) is agent
 
 
-def test_what_is_announced_follows_the_life_at_work() -> None:
+def test_announcement_follows_current_incarnation() -> None:
     world = ready_world(agents=1)
     endpoint = world.machines["w0"].endpoint
     announced: list[tuple[int, bool] | None] = []
@@ -597,19 +591,19 @@
     assert announced == [(endpoint.born, True), (again.born, False), None]
 
 
-def test_an_announcement_keeps_the_start_of_the_endpoint() -> None:
+def test_announcement_round_trip_keeps_endpoint_start() -> None:
     mine = Announcement("w1", "agent", "10.0.0.1:7720", FIRST)
     assert decode_announcement("w1", mine.encode()) == mine
 
 
-def test_an_announcement_of_the_last_version_names_an_endpoint_without_a_start() -> None:
+def test_announcement_of_previous_version_has_no_endpoint_start() -> None:
     mine = Announcement("w1", "agent", "10.0.0.1:7720", FIRST)
     older = mine.encode().replace(b', "born": 100', b"")
     read = decode_announcement("w1", older)
     assert read is not None and read.report == FIRST._replace(born=0)
 
 
-def test_an_agent_that_resumes_an_ended_life_from_the_store_waits_for_the_present_one() -> None:
+def test_agent_that_resumes_ended_incarnation_waits_for_current_one() -> None:
     world = ready_world(agents=1)
     stored = world.report_of(world.machines["w0"])._replace(sequence=0)
     world.kill(world.process_of("w0"))
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -1,4 +1,4 @@
-"""Leased jobs under failure, on virtual time: what must hold whatever is lost."""
+"""Invariants of leased jobs under faults, on virtual time."""
 
 from functools import partial
 from random import Random
@@ -25,7 +25,7 @@
 
 
 def holder_of(world: World, task: str) -> str:
-    """The machine whose endpoint runs a task."""
+    """Return the machine whose endpoint runs a task."""
     for machine in world.machines.values():
         if any(name == task for name, _ in machine.endpoint.active):
             return machine.name
@@ -37,7 +37,7 @@
     assert world.false_refusals() == []
 
 
-def test_a_job_is_complete_when_its_tasks_are_done() -> None:
+def test_job_is_complete_when_its_tasks_are_done() -> None:
     world = ready_world()
     job = world.submit("e0", tasks=8, run_s=0.12)
     world.run(0.2)
@@ -46,7 +46,7 @@
     assert job.ended_at - job.at < 0.15
 
 
-def test_a_task_that_fails_is_run_again_elsewhere_until_its_attempts_are_used_up() -> None:
+def test_failed_task_is_retried_until_attempts_are_used_up() -> None:
     world = ready_world()
     good = world.submit("e0", failures=2)
     bad = world.submit("e0", failures=3)
@@ -56,7 +56,7 @@
     assert_invariants_hold(world)
 
 
-def test_no_endpoint_gets_more_than_it_has_room_for() -> None:
+def test_no_endpoint_is_overcommitted() -> None:
     world = ready_world(agents=2, entries=3)
     for number in range(60):
         world.submit(f"e{number % 3}", tasks=3, run_s=0.3)
@@ -64,7 +64,7 @@
     assert_invariants_hold(world)
 
 
-def test_a_job_that_cannot_be_in_time_is_refused_early_with_a_time_to_come_back() -> None:
+def test_job_that_cannot_be_in_time_is_refused_early_with_retry_after() -> None:
     world = ready_world(agents=1)
     jobs = [world.submit("e0", tasks=10, run_s=0.5) for _ in range(10)]
     world.run(0.3)
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("late", [False, True])
-def test_a_start_without_an_answer_is_never_run_twice(late: bool) -> None:
+def test_unanswered_start_never_runs_twice(late: bool) -> None:
     world = ready_world()
     for machine in world.machines.values():
         machine.endpoint.delayed_starts = 2 if late else 0
@@ -88,7 +88,7 @@
     assert_invariants_hold(world)
 
 
-def test_a_killed_agent_loses_no_job_and_runs_none_twice() -> None:
+def test_killed_agent_loses_no_job_and_runs_none_twice() -> None:
     world = ready_world()
     job = world.submit("e0", tasks=6, run_s=1.0)
     world.run(0.3)
@@ -101,7 +101,7 @@
     assert_invariants_hold(world)
 
 
-def test_a_dark_machine_is_given_up_only_when_its_leases_are_over() -> None:
+def test_unreachable_agent_is_given_up_only_when_its_leases_have_expired() -> None:
     world = ready_world()
     job = world.submit("e0", tasks=3, run_s=1.0)
     world.run(0.2)
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("seconds", [0.3, 0.6, 1.0, 2.5])
-def test_a_frozen_agent_does_nothing_with_what_it_held(seconds: float) -> None:
+def test_frozen_agent_starts_no_stale_runs_when_it_resumes(seconds: float) -> None:
     world = ready_world()
     jobs = [world.submit("e0", tasks=4, run_s=0.7) for _ in range(3)]
     world.run(0.1)
@@ -126,7 +126,7 @@
     assert_invariants_hold(world)
 
 
-def test_a_killed_entry_leaves_nothing_running_when_its_callers_send_again() -> None:
+def test_runs_of_killed_entry_are_stopped_when_callers_resubmit() -> None:
     world = ready_world(entries=2)
     job = world.submit("e0", tasks=6, run_s=2.5)
     world.run(0.5)
@@ -138,7 +138,7 @@
     assert_invariants_hold(world)
 
 
-def test_a_frozen_entry_wakes_to_a_job_that_runs_elsewhere_and_does_not_run_it_again() -> None:
+def test_entry_that_resumes_does_not_rerun_job_that_runs_elsewhere() -> None:
     world = ready_world(entries=2)
     job = world.submit("e0", tasks=6, run_s=1.0, time_limit_s=2.0)
     world.run(0.3)
@@ -149,7 +149,7 @@
     assert_invariants_hold(world)
 
 
-def test_an_entry_cut_from_an_agent_and_back_keeps_what_runs_there() -> None:
+def test_entry_keeps_runs_across_reconnect() -> None:
     world = ready_world()
     job = world.submit("e0", tasks=3, run_s=1.0)
     world.run(0.2)
@@ -161,7 +161,7 @@
     assert_invariants_hold(world)
 
 
-def test_an_endpoint_that_fails_everything_gets_little_work() -> None:
+def test_failing_endpoint_gets_few_runs() -> None:
     world = ready_world(agents=4)
     world.machines["w0"].endpoint.failing = True
     jobs = []
@@ -175,7 +175,7 @@
     assert_invariants_hold(world)
 
 
-def test_runs_that_stand_still_are_moved_and_their_endpoint_is_left_out() -> None:
+def test_stalled_runs_are_moved_and_their_endpoint_is_ejected() -> None:
     world = ready_world(agents=4)
     world.machines["w0"].endpoint.speed = 0.0
     jobs = []
@@ -190,7 +190,7 @@
     assert_invariants_hold(world)
 
 
-def test_a_draining_endpoint_gets_nothing_new() -> None:
+def test_draining_endpoint_gets_no_new_runs() -> None:
     world = ready_world(agents=2)
     machine = world.machines["w0"]
     machine.sequence += 1
@@ -204,7 +204,7 @@
     assert before == len(machine.endpoint.active) == 0
 
 
-def test_another_endpoint_at_the_same_address_is_counted_by_its_own_size() -> None:
+def test_replaced_endpoint_is_not_overcommitted() -> None:
     world = ready_world(agents=1)
     world.submit("e0", tasks=9, run_s=2.0)
     world.run(0.2)
@@ -215,7 +215,7 @@
     assert_invariants_hold(world)
 
 
-def test_a_restarted_agent_stops_what_it_finds_before_it_starts_anything() -> None:
+def test_restarted_agent_stops_unknown_runs_before_it_starts_any() -> None:
     world = ready_world(agents=1)
     world.submit("e0", tasks=10, run_s=3.0, time_limit_s=9.0)
     world.run(0.1)
@@ -228,7 +228,7 @@
 
 
 @pytest.mark.parametrize("seed", [*range(30), 343])
-def test_random_walks_keep_every_promise(seed: int) -> None:
+def test_random_walks_keep_invariants(seed: int) -> None:
     world = ready_world(agents=5, entries=3, seed=seed)
     rng = Random(seed)
     for _ in range(60):
@@ -297,7 +297,7 @@
 
 
 def _report_late(world: World, name: str, report: EndpointReport) -> None:
-    """Let a heartbeat of an ended life arrive, unless nobody is there to take it."""
+    """Deliver a heartbeat of an ended incarnation, if the agent is running."""
     agent = world.machines[name].agent
     if agent is not None and world.process_of(name) in world.alive - world.frozen:
         agent.on_report(report)
@@ -320,20 +320,20 @@
 
 
 def _send_again(world: World, rng: Random, job: Asked) -> None:
-    """Hand a job in again at any entry, as callers do 1.3 s after a broken connection."""
+    """Submit a job again at any entry, as callers do 1.3 s after a broken connection."""
     (step,) = job.spec.steps
     entry = rng.choice(sorted(world.entries))
     again = partial(world.submit, entry, step.tasks, job.ideal_s, job_id=job.spec.job_id)
     world.at(1.3, "", again)
 
 
-def test_the_objective_is_the_stretched_work_and_the_allowance() -> None:
+def test_objective_is_stretched_work_plus_allowance() -> None:
     world = ready_world()
     job = world.submit("e0", tasks=2, run_s=0.5)
     assert job.handle.job.objective_s == pytest.approx(0.5 * QUEUE.stretch + 0.06)
 
 
-def test_lost_answers_to_looks_cost_no_run() -> None:
+def test_lost_poll_answers_cost_no_run() -> None:
     world = ready_world(agents=3)
     for machine in world.machines.values():
         machine.endpoint.lose_looks = 0.3
@@ -348,7 +348,7 @@
     assert_invariants_hold(world)
 
 
-def test_an_endpoint_that_answers_nothing_is_given_up_when_its_leases_are_over() -> None:
+def test_silent_endpoint_is_given_up_when_its_leases_have_expired() -> None:
     world = ready_world()
     job = world.submit("e0", tasks=3, run_s=3.0)
     world.run(0.2)
@@ -359,7 +359,7 @@
     assert_invariants_hold(world)
 
 
-def test_a_leaving_entry_takes_only_what_can_end_in_time() -> None:
+def test_entry_in_shutdown_accepts_only_jobs_that_end_in_time() -> None:
     world = ready_world()
     entry = world.entries["e0"].entry
     assert entry is not None
@@ -371,7 +371,7 @@
     assert not entry.takes(long)
 
 
-def test_agents_that_refuse_for_a_moment_are_not_taken_for_none() -> None:
+def test_job_is_kept_while_all_agents_refuse_for_a_moment() -> None:
     world = ready_world(agents=2)
     job = world.submit("e0", run_s=0.6, failures=1)
     world.run(0.55)
@@ -385,7 +385,7 @@
     assert outcome(job) is JobOutcome.COMPLETED
 
 
-def test_a_service_without_any_agent_is_refused_soon() -> None:
+def test_job_of_service_without_agents_is_refused_soon() -> None:
     world = ready_world(agents=1)
     world.kill(world.process_of("w0"))
     world.run(1.0)
@@ -394,7 +394,7 @@
     assert outcome(job) is JobOutcome.NOT_RUN
 
 
-def test_a_start_without_an_answer_is_settled_within_a_few_round_trips() -> None:
+def test_unanswered_start_is_resolved_within_a_few_round_trips() -> None:
     world = ready_world(agents=2)
     for machine in world.machines.values():
         machine.endpoint.delayed_starts = 1
@@ -404,14 +404,14 @@
     assert_invariants_hold(world)
 
 
-def test_nothing_is_placed_past_its_deadline() -> None:
+def test_no_task_is_placed_past_its_deadline() -> None:
     world = ready_world(agents=1)
     for _ in range(5):
         world.submit("e0", tasks=2, run_s=2.0, time_limit_s=9.0)
     late = world.submit("e0", tasks=1, run_s=0.5, time_limit_s=0.2)
     entry = world.entries["e0"].entry
     assert entry is not None
-    # The entry was frozen, and reads a load report before it looks at deadlines.
+    # The entry was frozen, and handles a load report before it checks deadlines.
     world.time += 1.0
     world.machines["w0"].endpoint.active.clear()
     for view in world.entries["e0"].view.agents.values():  # type: ignore[union-attr]
@@ -422,7 +422,7 @@
     assert not late.handle.job.began
 
 
-def test_a_look_at_an_earlier_life_says_nothing_of_the_present_one() -> None:
+def test_poll_answer_of_earlier_incarnation_is_dropped() -> None:
     world = ready_world(agents=1)
     machine = world.machines["w0"]
     agent = machine.agent
@@ -430,7 +430,7 @@
     ends = (EndRecord(50, "t", 1, RunOutcome.DONE),)
 
     def hold(*_: object) -> HoldReply:
-        # The endpoint is replaced while an answer of its earlier life is on its way.
+        # The endpoint is replaced while an answer of its earlier incarnation is in flight.
         world.replace_endpoint("w0")
         machine.sequence += 1
         agent.on_report(world.report_of(machine))
@@ -445,7 +445,7 @@
     assert outcome(job) is JobOutcome.COMPLETED
 
 
-def test_a_run_withdrawn_while_it_waits_for_an_earlier_one_never_begins() -> None:
+def test_run_withdrawn_while_it_waits_for_earlier_one_never_begins() -> None:
     world = ready_world(agents=1, entries=2)
     first = world.submit("e0", run_s=3.0)
     world.run(0.2)
@@ -461,7 +461,7 @@
     assert world.starts == 1
 
 
-def test_a_withdrawal_that_is_lost_with_its_connection_is_made_up_for() -> None:
+def test_withdrawal_lost_with_its_connection_is_recovered() -> None:
     world = ready_world(entries=2)
     job = world.submit("e0", tasks=3, run_s=4.0, time_limit_s=9.0)
     world.run(0.3)
@@ -478,7 +478,7 @@
 
 
 @pytest.mark.parametrize("restarted", [False, True])
-def test_a_late_heartbeat_of_an_ended_life_loses_no_run(restarted: bool) -> None:
+def test_late_heartbeat_of_ended_incarnation_loses_no_run(restarted: bool) -> None:
     world = ready_world()
     machine = world.machines["w0"]
     late = world.report_of(machine)
@@ -498,7 +498,7 @@
     assert_invariants_hold(world)
 
 
-def test_connections_that_go_silent_for_good_cost_no_run() -> None:
+def test_silent_connections_cost_no_run() -> None:
     world = ready_world(agents=4, entries=2)
     for at in range(5):
         world.at(0.37 * at + 0.2, "", world.silence_connections)
@@ -510,7 +510,7 @@
     assert_invariants_hold(world)
 
 
-def test_an_entry_that_is_gone_no_longer_counts_when_the_pool_is_shared() -> None:
+def test_ended_entry_gets_no_share_of_the_pool() -> None:
     world = ready_world(agents=2, entries=3)
     view = world.entries["e0"].view
     assert view is not None
@@ -521,8 +521,8 @@
 
 
 @pytest.mark.parametrize("seed", [1, 3])
-def test_agents_stopped_in_turn_stay_in_use_and_lose_no_run(seed: int) -> None:
-    """Measured when a leaving agent began nothing: 0.76 and 0.74 in time; now 0.91 and 0.89."""
+def test_agents_in_shutdown_stay_in_use_and_lose_no_run(seed: int) -> None:
+    """Guards against idle endpoints beside agents that are shutting down."""
     world = ready_world(agents=5, entries=3, seed=seed)
     for number in range(5):
         world.at(2.0 + number, "", world.stop_agent, f"w{number}")
@@ -539,7 +539,7 @@
     assert_invariants_hold(world)
 
 
-def test_an_agent_frozen_before_it_starts_what_it_took_on_starts_nothing_when_it_wakes() -> None:
+def test_agent_frozen_before_start_of_accepted_run_does_not_start_it() -> None:
     world = ready_world()
     job = world.submit("e0", tasks=2, run_s=1.0)
     task = f"{job.spec.job_id}.0.0.0"
@@ -556,7 +556,7 @@
     assert world.starts == 2
 
 
-def test_jobs_wait_for_agents_that_are_coming_back_with_free_endpoints() -> None:
+def test_jobs_wait_for_returning_agents() -> None:
     world = ready_world(agents=6, entries=2)
     for name in (*world.machines, *world.entries):
         world.kill(world.process_of(name))
@@ -575,7 +575,7 @@
     assert_invariants_hold(world)
 
 
-def test_a_configuration_reaches_an_entry_that_the_store_turns_away() -> None:
+def test_configuration_reaches_entry_without_access_to_store() -> None:
     world = ready_world(agents=3, entries=3)
     feeds = [node.entry._ctx.feed for node in world.entries.values() if node.entry]
     assert [feed.version for feed in feeds] == [1, 1, 1]
@@ -595,8 +595,8 @@
     assert restarted._ctx.feed.version == 9
 
 
-def test_a_leaving_entry_takes_jobs_until_none_has_come_for_a_while_and_then_none() -> None:
-    """A job taken between the last answer and the end of the process was cut off."""
+def test_entry_in_shutdown_accepts_jobs_until_none_arrives_for_a_while() -> None:
+    """Guards against cutting off a job accepted between the last answer and the process's end."""
     world = ready_world()
     entry = world.entries["e0"].entry
     assert entry is not None
@@ -618,8 +618,8 @@
 
 
 @pytest.mark.parametrize("mbits, agents", [(2, 12), (25, 24)])
-def test_a_large_configuration_stops_no_run_on_a_slow_link(mbits: int, agents: int) -> None:
-    """Pushed whole, again with each report, it held up the echoes that keep runs going."""
+def test_large_configuration_stops_no_run_on_slow_link(mbits: int, agents: int) -> None:
+    """Guards against a configuration that delays the echoes which renew entry leases."""
     world = ready_world(agents=agents, entries=3)
     for name in world.entries:
         world.bytes_per_s[world.process_of(name)] = mbits * 1e6 / 8
@@ -643,7 +643,7 @@
     assert_invariants_hold(world)
 
 
-def test_a_peer_that_has_a_configuration_is_never_sent_it() -> None:
+def test_configuration_is_sent_to_each_peer_once() -> None:
     world = ready_world(agents=4, entries=2)
     for name in world.entries:
         world.bytes_per_s[world.process_of(name)] = 1e9
@@ -654,20 +654,19 @@
         feed.apply_if_newer(raw, "store")
     world.run(4.0)
     once = sum(world.bytes_sent.values())
-    # Incompressible: the four agents take it in once each, 400 KB, beside echoes.
+    # It does not compress, and each of four agents gets it once: 400 KB, and echoes.
     assert 400_000 < once < 450_000
     world.reset("e0", "w0")
     world.run(2.0)
     assert sum(world.bytes_sent.values()) - once < 30_000
 
 
-def test_an_idle_pair_of_processes_exchanges_few_frames_and_can_be_used_at_any_moment() -> None:
-    """Reports and echoes were 200 frames a second between an agent and its entries, used or not."""
+def test_idle_processes_exchange_few_frames_and_can_be_used_at_any_time() -> None:
+    """Guards against frequent load reports and echoes between processes without runs."""
     world = ready_world(agents=4, entries=5)
     before = world.frames
     world.run(5.0)
     a_pair = (world.frames - before) / 5.0 / 20
-    # 20.0 frames a second before, 8.0 now.
     assert a_pair < 9.0
     refused_before = _refused(world)
     for number in range(60):
@@ -684,7 +683,7 @@
     return sum(agent._ctx.metrics.total("runs_refused") for agent in agents)
 
 
-def test_ended_runs_pass_a_connection_once_and_are_acknowledged_with_an_echo() -> None:
+def test_ended_runs_are_sent_once_per_connection_and_acknowledged_with_echo() -> None:
     world = ready_world(agents=1)
     agent, links = world.machines["w0"].agent, world.machines["w0"].links
     assert agent is not None and links is not None
@@ -702,10 +701,10 @@
         world.run(0.04)
     world.run(0.3)
     assert sorted(rows) == list(range(1, 17))
-    assert not agent._ctx.reports.has_unseen
+    assert not agent._ctx.reporter.has_unacknowledged
 
 
-def test_ended_runs_that_were_lost_with_a_connection_are_sent_by_the_next() -> None:
+def test_ended_runs_lost_with_connection_are_resent() -> None:
     world = ready_world(agents=1)
     job = world.submit("e0", tasks=2, run_s=0.2)
     world.run(0.19)
@@ -717,10 +716,10 @@
 
 
 @pytest.mark.parametrize("seed", [1, 8, 11])
-def test_an_assignment_that_echoes_an_old_report_does_not_keep_the_next_from_its_echo(
+def test_assignment_that_echoes_old_report_does_not_suppress_next_echo(
     seed: int,
 ) -> None:
-    """Taken for an echo of a new one, it let the lease chain of an idle pair run out."""
+    """Guards against counting it as an echo of the newest report: the entry lease would expire."""
     world = ready_world(agents=3, seed=seed)
     for machine in world.machines.values():
         machine.endpoint.lose_looks = 0.3
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""Jumps of the time of day are harmless: nothing that decides reads it."""
+"""Decisions do not depend on the wall clock, which may jump."""
 
 import ast
 from pathlib import Path
@@ -11,11 +11,11 @@
 SOURCE = Path(__file__).parent.parent / "src" / "gentianmux"
 WALL_CLOCKS = {"time", "time_ns", "now", "utcnow", "now_ms"}
 MAY_READ_IT = {"process.py"}
-"""Names a process by the time of its start; names are compared for equality alone."""
+"""It names a process by its start time; names are only compared for equality."""
 
 
 def wall_clock_reads(tree: ast.AST) -> set[str]:
-    """Names of calls that read the time of day; ``clock.now()`` is monotonic time."""
+    """Return the calls that read the wall clock; ``clock.now()`` is monotonic."""
     found = set()
     for node in ast.walk(tree):
         if isinstance(node, ast.Call):
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("folder", ["leased", "platform"])
-def test_no_decision_reads_the_time_of_day(folder: str) -> None:
+def test_no_decision_reads_the_wall_clock(folder: str) -> None:
     readers = {
         path.name
         for path in (SOURCE / folder).glob("*.py")
@@ -42,11 +42,11 @@
 
 
 @pytest.mark.parametrize("planted", ["time()", "time.time()", "datetime.now()", "clock.now_ms()"])
-def test_a_planted_read_is_found(planted: str) -> None:
+def test_wall_clock_read_is_detected(planted: str) -> None:
     assert wall_clock_reads(ast.parse(planted))
 
 
-def test_a_process_that_restarts_under_an_earlier_time_is_still_the_newer_one() -> None:
+def test_process_restarted_with_earlier_start_time_replaces_earlier_one() -> None:
     world = ready_world()
     jobs = [world.submit("e0", tasks=6, run_s=0.8) for _ in range(3)]
     world.run(0.3)
