--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -39,7 +39,7 @@
     EndpointReport,
     RunOutcome,
 )
-from .payloads import unpack
+from .payloads import decode_payload
 from .resources import Resources
 from .run_monitor import RunMonitor
 from .run_starter import RunStarter
@@ -201,7 +201,7 @@
 
     def _maintain(self) -> None:
         """Check leases, send due reports and wait, longer while no run depends on it."""
-        self.check_chains()
+        self.check_entry_leases()
         self.send_due_reports()
         gevent.sleep(
             MAINTENANCE_INTERVAL_S
@@ -245,7 +245,7 @@
         )
         has_lease = self._leases.holds(entry, now)
         refused = False
-        payloads = [unpack(payload) for payload in msg.payloads]
+        payloads = [decode_payload(payload) for payload in msg.payloads]
         for task in msg.tasks:
             payload = payloads[task.payload]
             how = (
@@ -302,7 +302,7 @@
     def _(self, msg: ConfigPiece, entry: str) -> None:
         self._config_transfer.take(msg, entry)
 
-    def check_chains(self) -> None:
+    def check_entry_leases(self) -> None:
         """Stop the runs of entries whose lease has expired, and reopen silent connections."""
         now = self._ctx.clock.now()
         self._stopper.stop_expired()
