--- a/src/gentianmux/leased/endpoint_poller.py
+++ b/src/gentianmux/leased/endpoint_poller.py
@@ -13,7 +13,8 @@
 from .run_table import FinishedRun, RunTable
 
 POLL_WAIT_S = 0.08
-"""How long a poll waits for a run to end; it also bounds how often leases are renewed."""
+"""How long a poll waits for a run to end, and so the interval at which progress is seen and leases
+are renewed."""
 
 IDLE_POLL_WAIT_S = 0.16
 """How long a poll waits while nothing runs. If its answer is lost, the end of a run that began
--- a/src/gentianmux/leased/endpoint_tracker.py
+++ b/src/gentianmux/leased/endpoint_tracker.py
@@ -90,12 +90,12 @@
         self._metrics = metrics
         self._hooks = hooks
         self._newest: EndpointReport | None = None
-        self._followed = ""
-        self._switches = 0
+        self._tracked_id = ""
+        self._switch_count = 0
         self._unreadable_writers: set[str] = set()
 
     def handle_heartbeat(self, report: EndpointReport) -> None:
-        """Handle a heartbeat."""
+        """Classify a heartbeat, and accept it, skip it or switch to its incarnation."""
         kind = classify_heartbeat(report, self._newest)
         if kind is HeartbeatKind.WITHOUT_START:
             self.handle_unreadable(report.endpoint, "born is missing")
@@ -105,9 +105,9 @@
             self._skip_overtaken(report)
         elif kind is HeartbeatKind.ENDED:
             self._log_stale(report)
-        elif kind in _OTHER_INCARNATIONS and self._followed:
+        elif kind in _OTHER_INCARNATIONS and self._tracked_id:
             self._probe_incarnation(report, kind)
-        elif kind is HeartbeatKind.CURRENT and self._followed:
+        elif kind is HeartbeatKind.CURRENT and self._tracked_id:
             self._accept(report)
         else:
             self._switch_to(report, kind)
@@ -154,18 +154,18 @@
 
         An agent that was paused gets the notice before it finds that the endpoint has restarted.
         """
-        logger.bind(endpoint=self._followed, reason="it left").warning("endpoint gone")
+        logger.bind(endpoint=self._tracked_id, reason="it left").warning("endpoint gone")
         self.report = None
         self._notify_switched(self._table.begin_incarnation())
         self._hooks.on_report_changed(None)
 
     def detach(self, reason: str) -> None:
         """Record that the endpoint is gone, and end all of its runs."""
-        if not self._followed:
+        if not self._tracked_id:
             return
-        logger.bind(endpoint=self._followed, reason=reason).warning("endpoint gone")
+        logger.bind(endpoint=self._tracked_id, reason=reason).warning("endpoint gone")
         self.report = None
-        self._followed = ""
+        self._tracked_id = ""
         finished = self._table.mark_all_lost()
         self._table.reset(NO_RESOURCES)
         self._notify_switched(finished)
@@ -195,8 +195,8 @@
     def _has_known_service(self, report: EndpointReport, kind: HeartbeatKind) -> bool:
         """Whether the endpoint's service is one that the settings or the configuration name."""
         newest = self._newest
-        is_known_life = kind in (HeartbeatKind.CURRENT, HeartbeatKind.OVERTAKEN)
-        if newest is not None and newest.sequence and is_known_life:
+        is_known_incarnation = kind in (HeartbeatKind.CURRENT, HeartbeatKind.OVERTAKEN)
+        if newest is not None and newest.sequence and is_known_incarnation:
             return report.service == newest.service
         config = self._feed.current
         if not self._cfg.service or config is None:
@@ -219,10 +219,10 @@
         Switching ends the runs of the current incarnation as lost, and other endpoints get the
         same tasks. If nothing answers, the next poll or heartbeat decides.
         """
-        switches = self._switches
+        switch_count = self._switch_count
         answers = (self._driver.is_present(report) for _ in range(MAX_PRESENCE_PROBES))
         present = next((answer for answer in answers if answer is not None), None)
-        if switches != self._switches:
+        if switch_count != self._switch_count:
             # A poll has found the other incarnation meanwhile. Without this heartbeat it would get
             # no runs until its next one, which is seconds away.
             self.handle_heartbeat(report)
@@ -263,7 +263,7 @@
             finished = self._table.mark_all_lost()
             self._table.reset(report.capacity)
         self.report = self._newest = report
-        self._followed = report.endpoint
+        self._tracked_id = report.endpoint
         self._driver.attach(report)
         self._notify_switched(finished)
         self._hooks.on_report_changed(report)
@@ -278,5 +278,5 @@
         ).info(event)
 
     def _notify_switched(self, finished: list[FinishedRun]) -> None:
-        self._switches += 1
-        self._hooks.on_switched(self._followed, finished)
+        self._switch_count += 1
+        self._hooks.on_switched(self._tracked_id, finished)
--- a/src/gentianmux/leased/entry_leases.py
+++ b/src/gentianmux/leased/entry_leases.py
@@ -22,7 +22,7 @@
 
 MIN_ECHO_INTERVAL_S = 0.06
 """Shortest interval of echoes to an agent, which also reports each change of its resources. A lease
-is never renewed later than this and ``REPORT_INTERVAL_S`` after the last time."""
+ages by no more than this and ``REPORT_INTERVAL_S`` before it is renewed."""
 
 ECHO_TIMEOUT_S = 0.25
 """Age of the last echoed report at which the connection is replaced: the rest of the lease is
@@ -63,11 +63,11 @@
 
     def record_echo(self, entry: str, number: int) -> None:
         """Renew an entry's lease; the echo of a report too old to be known has no effect."""
-        for known, sent_at in reversed(self._sent):
-            if known == number:
+        for sent_number, sent_at in reversed(self._sent):
+            if sent_number == number:
                 self._until[entry] = max(self._until.get(entry, 0.0), sent_at + ENTRY_LEASE_S)
                 return
-            if known < number:
+            if sent_number < number:
                 return
 
     def holds(self, entry: str, now: float) -> bool:
--- a/src/gentianmux/leased/entry_reporter.py
+++ b/src/gentianmux/leased/entry_reporter.py
@@ -105,11 +105,11 @@
     def send_ended(self, entry: str) -> None:
         """Send an entry the ended runs that were not yet sent over this connection."""
         sent = self._sent_up_to.get(entry, 0)
-        fresh = [
+        unsent = [
             row for number, row in self._unacknowledged.get(entry, {}).items() if number > sent
         ]
-        if fresh and self._links.send(entry, EndedRuns(fresh)):
-            self._sent_up_to[entry] = fresh[-1].number
+        if unsent and self._links.send(entry, EndedRuns(unsent)):
+            self._sent_up_to[entry] = unsent[-1].number
 
     def resend_ended(self, entry: str) -> None:
         """Send an entry, over a new connection, every ended run that it has not acknowledged."""
@@ -127,8 +127,10 @@
         for entry in {*self._unacknowledged, *self.applied}:
             if self.leases.holds(entry, now):
                 self._lease_valid_at[entry] = now
-        gone = [entry for entry, at in self._lease_valid_at.items() if now - at > ENTRY_RETENTION_S]
-        for entry in gone:
+        expired = [
+            entry for entry, at in self._lease_valid_at.items() if now - at > ENTRY_RETENTION_S
+        ]
+        for entry in expired:
             del self._lease_valid_at[entry]
             self._unacknowledged.pop(entry, None)
             self._sent_up_to.pop(entry, None)
--- a/src/gentianmux/leased/grants.py
+++ b/src/gentianmux/leased/grants.py
@@ -37,9 +37,9 @@
     until: float
 
 
-def urgency(waiting: PendingClaim) -> tuple[bool, bool, int, float]:
+def urgency(pending: PendingClaim) -> tuple[bool, bool, int, float]:
     """Sort key of claims, in the order that entries sort their jobs in."""
-    return waiting.late, not waiting.begun, waiting.priority, waiting.begin_by
+    return pending.late, not pending.begun, pending.priority, pending.begin_by
 
 
 class Grants:
@@ -113,15 +113,15 @@
         self._expire_grants(now)
         left = self._unallocated(free)
         changed = set()
-        for waiting in sorted(self._eligible_claims(now), key=urgency):
-            resources = _usable_part(waiting, self._available_to(waiting.late, left))
+        for pending in sorted(self._eligible_claims(now), key=urgency):
+            resources = _usable_part(pending, self._available_to(pending.late, left))
             if resources is None:
                 continue
             left = left.minus(resources)
-            known = self._grants.get(waiting.entry)
-            granted = resources if known is None else known.resources.plus(resources)
-            self._grants[waiting.entry] = _Grant(granted, now + GRANT_TTL_S)
-            changed.add(waiting.entry)
+            previous = self._grants.get(pending.entry)
+            granted = resources if previous is None else previous.resources.plus(resources)
+            self._grants[pending.entry] = _Grant(granted, now + GRANT_TTL_S)
+            changed.add(pending.entry)
         return changed
 
     def _available_to(self, late: bool, resources: Resources) -> Resources:
@@ -173,7 +173,7 @@
     def _has_only_late_claims(self, entry: str) -> bool:
         """Whether an entry has claims, and only for work that will be late."""
         claims = self._claims.get(entry, [])
-        return bool(claims) and all(waiting.late for waiting in claims)
+        return bool(claims) and all(pending.late for pending in claims)
 
     def _unclaimed(self, free: Resources, now: float) -> Resources:
         """Resources that are not granted; none while some claim could be granted."""
@@ -189,11 +189,11 @@
     return Resources(*(max(0, amount) for amount in resources))
 
 
-def _usable_part(waiting: PendingClaim, left: Resources) -> Resources | None:
+def _usable_part(pending: PendingClaim, left: Resources) -> Resources | None:
     """Part of ``left`` that a claim can use; None if not even its smallest task fits."""
-    need = waiting.need
+    need = pending.need
     lacking = any(wanted > 0 and has <= 0 for has, wanted in zip(left, need, strict=True))
-    if lacking or left.cpu < waiting.least_cpu:
+    if lacking or left.cpu < pending.least_cpu:
         return None
     return Resources(*(min(has, wanted) for has, wanted in zip(left, need, strict=True)))
 
--- a/src/gentianmux/leased/run_monitor.py
+++ b/src/gentianmux/leased/run_monitor.py
@@ -51,18 +51,17 @@
             self._ctx.reporter.schedule_report()
 
     def _is_slow(self, run: Run, now: float) -> bool:
-        projected_ms = run.progress.projected_ms(now)
+        run_time_ms = run.progress.projected_ms(now)
         return (
-            projected_ms is not None
-            and projected_ms > SLOW_FACTOR * run.estimate_ms + SLOW_MARGIN_MS
+            run_time_ms is not None and run_time_ms > SLOW_FACTOR * run.estimate_ms + SLOW_MARGIN_MS
         )
 
     def stop_unfinishable(self, remaining_s: float) -> None:
         """Stop runs that the draining endpoint will not finish, so that they run elsewhere."""
         now = self._ctx.clock.now()
         for run in list(self._ctx.table.runs.values()):
-            projected_ms = run.progress.projected_ms(now) or float(run.estimate_ms)
-            left_s = projected_ms / 1000 - (now - run.began)
+            run_time_ms = run.progress.projected_ms(now) or float(run.estimate_ms)
+            left_s = run_time_ms / 1000 - (now - run.began)
             if run.phase is Phase.RUNNING and left_s > remaining_s + DRAIN_OVERRUN_S:
                 self._stopper.stop(
                     run.key, RunOutcome.STOPPED, "the endpoint drains before it would end"
--- a/src/gentianmux/leased/run_starter.py
+++ b/src/gentianmux/leased/run_starter.py
@@ -119,22 +119,22 @@
         if self._ctx.is_evacuated:
             self._end_refused(key, RunOutcome.DRAINING)
             return
-        verdict = self._ctx.driver.start(task.name, task.run, payload, self._ctx.lease_s, now)
+        result = self._ctx.driver.start(task.name, task.run, payload, self._ctx.lease_s, now)
         now = self._ctx.clock.now()
-        if verdict is StartResult.STARTED:
+        if result is StartResult.STARTED:
             self._ctx.table.started(key, now)
             return
-        if verdict is StartResult.NO_ANSWER:
+        if result is StartResult.NO_ANSWER:
             logger.bind(task=task.name, run=task.run).warning("a start was not answered")
             self._ctx.metrics.count("starts_unanswered")
             self._ctx.table.unanswered(key, now)
             self._ctx.poller.poll_now()
             self._stopper.send_due_stops()
             return
-        logger.bind(task=task.name, run=task.run, verdict=verdict.value).warning("start refused")
-        if verdict is StartResult.UNHEALTHY:
+        logger.bind(task=task.name, run=task.run, verdict=result.value).warning("start refused")
+        if result is StartResult.UNHEALTHY:
             self._ctx.health.ended(job_id_of(task.name), True, None, now)
-        self._end_refused(key, _REFUSAL_OUTCOMES[verdict])
+        self._end_refused(key, _REFUSAL_OUTCOMES[result])
 
     def _end_refused(self, key: RunKey, how: RunOutcome) -> None:
         done = self._ctx.table.refused(key, how)
--- a/src/gentianmux/leased/run_table.py
+++ b/src/gentianmux/leased/run_table.py
@@ -171,19 +171,19 @@
 
     def due_stops(self, now: float) -> list[RunKey]:
         """Runs, unknown ones included, for which a stop or a retry of it is due."""
-        mine = {
+        own = {
             run.key
             for run in self.runs.values()
             if run.phase is Phase.STOPPING and run.stopped_at is None
         }
-        wanted = mine | self.unknown_runs
-        if not wanted:
+        to_stop = own | self.unknown_runs
+        if not to_stop:
             self._stop_sent_at.clear()
             return []
-        self._stop_sent_at = {key: at for key, at in self._stop_sent_at.items() if key in wanted}
+        self._stop_sent_at = {key: at for key, at in self._stop_sent_at.items() if key in to_stop}
         due = [
             k
-            for k in sorted(wanted)
+            for k in sorted(to_stop)
             if now - self._stop_sent_at.get(k, 0.0) >= STOP_RETRY_INTERVAL_S
         ]
         self._stop_sent_at.update(dict.fromkeys(due, now))
--- a/src/gentianmux/leased/shutdown.py
+++ b/src/gentianmux/leased/shutdown.py
@@ -1,7 +1,7 @@
 """Decides which work a process that was told to stop may still begin."""
 
 ESTIMATE_FACTOR = 1.5
-"""Assumed run time of work, as a multiple of its estimate."""
+"""Run time to allow for, as a multiple of the estimate, which may be too low."""
 
 SHUTDOWN_MARGIN_S = 0.2
 """Additional time for placing the work and answering."""
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -148,9 +148,15 @@
 
 
 def test_heartbeats_without_start_are_classified_by_sequence_number() -> None:
-    untold = FIRST._replace(born=0)
-    assert classify_heartbeat(untold._replace(sequence=8), untold) is HeartbeatKind.OVERTAKEN
-    assert classify_heartbeat(untold._replace(sequence=10), untold) is HeartbeatKind.CURRENT
+    without_start = FIRST._replace(born=0)
+    assert (
+        classify_heartbeat(without_start._replace(sequence=8), without_start)
+        is HeartbeatKind.OVERTAKEN
+    )
+    assert (
+        classify_heartbeat(without_start._replace(sequence=10), without_start)
+        is HeartbeatKind.CURRENT
+    )
 
 
 # Agent
@@ -257,13 +263,13 @@
     world.machines["w0"].sequence = 1
     is_present = agent._ctx.driver.is_present
 
-    def look_meanwhile(report: EndpointReport) -> bool | None:
+    def poll_meanwhile(report: EndpointReport) -> bool | None:
         for _ in range(3):
             agent.poll()
         return is_present(report)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(agent._ctx.driver, "is_present", look_meanwhile)
+        patch.setattr(agent._ctx.driver, "is_present", poll_meanwhile)
         agent.on_report(world.report_of(world.machines["w0"]))
     assert agent.report is not None
     assert agent.report.born == world.machines["w0"].endpoint.born
@@ -271,15 +277,15 @@
     assert agent.is_accepting
 
 
-@pytest.mark.parametrize("told", [True, False])
-def test_late_shutdown_notice_of_earlier_incarnation_loses_no_run(told: bool) -> None:
+@pytest.mark.parametrize("has_start", [True, False])
+def test_late_shutdown_notice_of_earlier_incarnation_loses_no_run(has_start: bool) -> None:
     world = ready_world(agents=1)
     earlier = world.machines["w0"].endpoint
     world.restart_endpoint("w0", down_s=0.5)
     world.run(1.5)
     job = world.submit("e0", tasks=6, run_s=0.5)
     world.run(0.1)
-    agent_of(world).on_shutdown_notice(earlier.name, earlier.born if told else 0)
+    agent_of(world).on_shutdown_notice(earlier.name, earlier.born if has_start else 0)
     world.run(1.0)
     assert outcome(job) is JobOutcome.COMPLETED
     assert world.starts == 6
@@ -364,9 +370,9 @@
     what = rng.randrange(6)
     if what == 0 and machine.endpoint.up:
         late = world.report_of(machine, rng.random() < 0.5)
-        farewell = (machine.endpoint.name, rng.choice([0, machine.endpoint.born]))
+        notice = (machine.endpoint.name, rng.choice([0, machine.endpoint.born]))
         world.restart_endpoint(machine.name, rng.choice([0.0, 0.01, 0.1, 0.6, 2.0]))
-        world.at(rng.uniform(0.7, 4.0), "", _arrive_late, world, machine.name, late, farewell)
+        world.at(rng.uniform(0.7, 4.0), "", _deliver_late, world, machine.name, late, notice)
     elif what == 1:
         machine.endpoint.draining = True
     elif what == 2 and machine.endpoint.draining and machine.endpoint.up:
@@ -378,13 +384,11 @@
         _inject_fault(world, rng)
 
 
-def _arrive_late(
-    world: World, name: str, report: EndpointReport, farewell: tuple[str, int]
-) -> None:
+def _deliver_late(world: World, name: str, report: EndpointReport, notice: tuple[str, int]) -> None:
     """Deliver the last messages of an earlier incarnation, if the agent is alive."""
     if world.process_of(name) in world.alive:
         agent_of(world, name).on_report(report)
-        agent_of(world, name).on_shutdown_notice(*farewell)
+        agent_of(world, name).on_shutdown_notice(*notice)
 
 
 # Run table
@@ -465,12 +469,14 @@
         assert [run.task for run in driver.hold(0, 0.0, 0.5, 1.0).active] == ["t"]
 
 
-@pytest.mark.parametrize("told_ms", [-9, 9])
-def test_incarnation_that_answers_poll_is_current_whatever_start_was_reported(told_ms: int) -> None:
+@pytest.mark.parametrize("offset_ms", [-9, 9])
+def test_incarnation_that_answers_poll_is_current_whatever_start_was_reported(
+    offset_ms: int,
+) -> None:
     app = PlatformEndpointApp("i-1")
     with served(app) as address:
         driver = PlatformEndpoint(address, 0.05)
-        driver.attach(report_of(app)._replace(born=app.born + told_ms))
+        driver.attach(report_of(app)._replace(born=app.born + offset_ms))
         with pytest.raises(EndpointStartedAgain) as caught:
             driver.hold(0, 0.0, 0.5, 1.0)
         assert caught.value.born == app.born
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -623,7 +623,7 @@
     world = ready_world(agents=agents, entries=3)
     for name in world.entries:
         world.bytes_per_s[world.process_of(name)] = mbits * 1e6 / 8
-    # 1,400 queues of some 300 bytes, of which names are random.
+    # 1,400 queues of some 300 bytes each, with random names.
     rng = Random(3)
     raw = b"".join(
         b'{"host":"%016x","rest":"%s"}' % (rng.getrandbits(64), b"r" * 270) for _ in range(1400)
