--- a/bench/leased_load.py
+++ b/bench/leased_load.py
@@ -23,8 +23,8 @@
 from bench.leased_world import Asked, World
 from bench.processes import ROOT
 from bench.scenario import USUAL, Kind, Power, Scenario
-from gentianmux.leased.job_state import USEFUL_FOR, Outcome
-from gentianmux.leased.room import Room
+from gentianmux.leased.job_state import USEFUL_OBJECTIVE_FACTOR, JobOutcome
+from gentianmux.leased.resources import Resources
 
 RESULT = ROOT / "bench" / "results" / "leased_load.json"
 
@@ -128,7 +128,7 @@
     world = World(len(scenario.rooms), len(scenario.shares), seed)
     sizes = zip(world.machines.values(), scenario.rooms, scenario.speeds, strict=True)
     for machine, cpu, speed in sizes:
-        machine.endpoint.capacity = Room(cpu, 65536, 0)
+        machine.endpoint.capacity = Resources(cpu, 65536, 0)
         machine.endpoint.speed = speed
     world.run(WARM_S)
     return world
@@ -167,7 +167,7 @@
         """End all processes and endpoints, start them again, and send again what was at work."""
         world = self._world
         for number, (job, asked) in list(self.tries.items()):
-            if asked.ticket.verdict is None:
+            if asked.handle.result is None:
                 pause_s = max(power.resend_s, power.back_s)
                 world.at(pause_s, "", self._send, number, job, asked.at)
         for name in [*world.machines, *world.entries]:
@@ -212,7 +212,7 @@
 
 def earned(job: Arrival, took_s: float | None) -> float:
     """Credit of a job that took so long; None when it was not served."""
-    if took_s is None or took_s > USEFUL_FOR * job.objective_s:
+    if took_s is None or took_s > USEFUL_OBJECTIVE_FACTOR * job.objective_s:
         return 0.0
     return job.worth if took_s <= job.objective_s else LATE_WORTH * job.worth
 
@@ -225,8 +225,8 @@
     got: Counter[object] = Counter()
     ways: Counter[str] = Counter()
     for job, handed_in in asked:
-        verdict = handed_in.ticket.verdict
-        done = verdict is not None and verdict.outcome is Outcome.COMPLETED
+        result = handed_in.handle.result
+        done = result is not None and result.outcome is JobOutcome.COMPLETED
         took_s = handed_in.ended_at - handed_in.at if done else None
         credit = earned(job, took_s)
         for key in ("all", int(job.at / WINDOW_S), job.kind.queue.name):
--- a/bench/leased_speed.py
+++ b/bench/leased_speed.py
@@ -25,15 +25,14 @@
 from gentianmux.leased.entry import Entry
 from gentianmux.leased.fleet_view import FleetView
 from gentianmux.leased.model import (
-    How,
     JobConfig,
     JobSpec,
-    QueueRules,
+    QueueConfig,
     RequestLimits,
+    RunOutcome,
     StepSpec,
 )
-from gentianmux.leased.room import Room
-from gentianmux.memory_log import MemoryKeyedLog
+from gentianmux.leased.resources import Resources
 from gentianmux.messages import (
     PROTOCOL_VERSION,
     AgentLoad,
@@ -45,6 +44,7 @@
     Message,
 )
 from gentianmux.metrics import Metrics
+from gentianmux.platform_log import MemoryKeyedLog
 from gentianmux.settings import Settings
 
 RESULT = ROOT / "bench" / "results" / "leased_speed.json"
@@ -52,10 +52,10 @@
 AGENTS = (10, 60, 160, 1000)
 USUAL_AGENTS, USUAL_BACKLOG = 60, 200
 TASKS, PER_REPORT = 8, 4
-NEED = Room(1200, 64)
+NEED = Resources(1200, 64)
 PAYLOAD = "0123456789abcdef" * 150
 # So patient that nothing is refused: what is timed is waiting and placing.
-QUEUE = QueueRules("q", "h", "/q/", "s", 5000, 60, 0, 3, 1e5)
+QUEUE = QueueConfig("q", "h", "/q/", "s", 5000, 60, 0, 3, 1e5)
 JOBS = 60
 ROUNDS = 5
 
@@ -70,10 +70,10 @@
     def now(self) -> float:
         return self.time
 
-    def later(self, delay_s: float, call: Any, *args: Any) -> None:
+    def call_later(self, delay_s: float, call: Any, *args: Any) -> None:
         self.due.append((call, args))
 
-    def soon(self, call: Any, *args: Any) -> None:
+    def call_soon(self, call: Any, *args: Any) -> None:
         self.due.append((call, args))
 
     def run_due(self) -> None:
@@ -103,7 +103,7 @@
             self.assigned[process] += [(task.name, task.run) for task in msg.tasks]
         return True
 
-    def close_silent(self) -> None:
+    def close_idle(self) -> None:
         return
 
 
@@ -128,7 +128,7 @@
             state = EndpointState(f"i-{number}", "s", "fd", 16000, 65536, 0, ["a"], True)
             self.take(name, state)
             self.report(name, 16000)
-        while len(self.entry._board.backlog) < backlog:
+        while len(self.entry._ctx.backlog) < backlog:
             self.submit()
 
     def take(self, name: str, msg: Message) -> None:
@@ -152,7 +152,7 @@
         rows: list[EndedRun] = []
         while runs and len(rows) < PER_REPORT:
             self.ends += 1
-            rows.append(EndedRun(self.ends, *runs.popleft(), int(How.DONE), 120))
+            rows.append(EndedRun(self.ends, *runs.popleft(), int(RunOutcome.DONE), 120))
         if rows:
             self.take(name, EndedRuns(rows))
             self.report(name, len(rows) * NEED.cpu)
@@ -165,12 +165,12 @@
             if number % 100 == 0:
                 # The others were heard of as well.
                 for name in names:
-                    self.view.of(name).heard_at = self.clock.time
+                    self.view.get_or_add(name).last_heard_at = self.clock.time
             self.end_some(names[number % len(names)])
             if number % (TASKS // PER_REPORT) == 0:
                 self.submit()
             if number % 10 == 0:
-                self.entry.step()
+                self.entry.tick()
                 self.clock.run_due()
 
 
--- a/bench/leased_world.py
+++ b/bench/leased_world.py
@@ -16,30 +16,30 @@
 from bench.leased_links import ONE_WAY_S, FakeClock, FakeLinks
 from gentianmux.clock import Clock
 from gentianmux.codec import encode
-from gentianmux.leased.agent import UPKEEP_S, Agent
-from gentianmux.leased.chain import REPORT_S
+from gentianmux.leased.agent import MAINTENANCE_INTERVAL_S, Agent
 from gentianmux.leased.config_feed import ConfigFeed, ConfigSource
-from gentianmux.leased.entry import LOSS_CHECK_S, STEP_S, Entry
+from gentianmux.leased.entry import LOSS_CHECK_INTERVAL_S, TICK_S, Entry
+from gentianmux.leased.entry_leases import REPORT_INTERVAL_S
 from gentianmux.leased.fleet_view import FleetView
+from gentianmux.leased.job_handle import JobHandle
 from gentianmux.leased.model import (
     EndpointReport,
     JobConfig,
     JobSpec,
-    QueueRules,
+    QueueConfig,
     RequestLimits,
     StepSpec,
-    node_of,
+    instance_of,
 )
-from gentianmux.leased.room import Room
+from gentianmux.leased.resources import Resources
 from gentianmux.leased.settings import LeasedSettings, lease_s
-from gentianmux.leased.ticket import Ticket
-from gentianmux.memory_log import MemoryKeyedLog
 from gentianmux.messages import PROTOCOL_VERSION, Hello, Message
 from gentianmux.metrics import Metrics
+from gentianmux.platform_log import MemoryKeyedLog
 from gentianmux.settings import Settings
 
-QUEUE = QueueRules("q", "h.example", "/q/", "s", 5000, 60, 0, 3, 1.6)
-ENDPOINT_ROOM = Room(16000, 65536, 0)
+QUEUE = QueueConfig("q", "h.example", "/q/", "s", 5000, 60, 0, 3, 1.6)
+ENDPOINT_ROOM = Resources(16000, 65536, 0)
 
 EVACUATE_S = 0.05
 """Seconds after an evacuation is known anywhere until no run begins there: ten round trips, where
@@ -77,10 +77,10 @@
     """A job that was handed in, for the checks at the end."""
 
     spec: JobSpec
-    queue: QueueRules
+    queue: QueueConfig
     at: float
     ideal_s: float
-    ticket: Ticket
+    handle: JobHandle
     ended_at: float = field(default=0.0)
 
 
@@ -104,7 +104,7 @@
         How many of each.
     seed : int
         Of everything that is random.
-    capacity : Room
+    capacity : Resources
         Of each endpoint.
     link_bytes_s : float
         What entries are told that their links carry; 0 for nothing.
@@ -115,7 +115,7 @@
     >>> world.run(1.0)
     >>> job = world.submit("e0", tasks=4, run_s=0.1)
     >>> world.run(1.0)
-    >>> job.ticket.verdict.outcome.value
+    >>> job.handle.result.outcome.value
     'completed'
     """
 
@@ -124,7 +124,7 @@
         agents: int = 3,
         entries: int = 1,
         seed: int = 1,
-        capacity: Room = ENDPOINT_ROOM,
+        capacity: Resources = ENDPOINT_ROOM,
         link_bytes_s: float = 0.0,
     ) -> None:
         self.time = 100.0
@@ -209,8 +209,8 @@
         agent = Agent(cfg, driver, links, self._feed(clock), metrics, clock)  # type: ignore[arg-type]
         machine.agent, machine.links = agent, links
         self.alive.add(me.process)
-        self.every(REPORT_S, me.process, agent.send_due)
-        self.every(UPKEEP_S, me.process, agent.check_chains)
+        self.every(REPORT_INTERVAL_S, me.process, agent.send_due_reports)
+        self.every(MAINTENANCE_INTERVAL_S, me.process, agent.check_entry_leases)
         self.every(0.01, me.process, lambda: self._look(agent, driver))
 
     def stop_agent(self, name: str, grace_s: float = 5.3, back_s: float = 0.9) -> None:
@@ -220,20 +220,20 @@
         assert agent is not None
         until = self.time + grace_s
         process = self.process_of(name)
-        agent.begin_leaving(until)
+        agent.begin_shutdown(until)
 
         def end_when_left() -> None:
             if process != self.process_of(name) or process not in self.alive:
                 return
-            if agent.has_left() or self.time >= until:
+            if agent.is_drained() or self.time >= until:
                 self.kill(process)
                 self.at(back_s, "", self.start_agent, name)
 
         self.every(0.02, process, end_when_left)
 
     def _look(self, agent: Agent, driver: FakeDriver) -> None:
-        if agent.looks.endpoint and self.time >= driver.blocked_until:
-            agent.look()
+        if agent.poller.endpoint and self.time >= driver.blocked_until:
+            agent.poll()
 
     def start_entry(self, name: str) -> None:
         """Start an entry's process."""
@@ -251,10 +251,10 @@
         for machine in self.machines.values():
             # As announced in the store.
             cpu = machine.endpoint.capacity.cpu
-            view.expect(machine.name, "s", machine.domain, cpu, self.time)
+            view.expect_agent(machine.name, "s", machine.domain, cpu, self.time)
         self.alive.add(me.process)
-        self.every(STEP_S, me.process, entry.step)
-        self.every(LOSS_CHECK_S, me.process, entry.check_losses)
+        self.every(TICK_S, me.process, entry.tick)
+        self.every(LOSS_CHECK_INTERVAL_S, me.process, entry.check_losses)
 
     def _feed(self, clock: Clock) -> ConfigFeed:
         source = ConfigSource("config", "config", lambda raw: self.config, "evacuate/")
@@ -300,7 +300,7 @@
         for call, args in held:
             self.at(0.0, process, call, *args)
 
-    def replace_endpoint(self, name: str, capacity: Room | None = None) -> FakeEndpoint:
+    def replace_endpoint(self, name: str, capacity: Resources | None = None) -> FakeEndpoint:
         """End an endpoint's life and begin another at the same address."""
         machine = self.machines[name]
         old = machine.endpoint
@@ -371,7 +371,7 @@
         self._count += 1
         for mine, other in ((agent, entry), (entry, agent)):
             for process in list(mine.open):
-                if node_of(process) == node_of(other.me.process):
+                if instance_of(process) == instance_of(other.me.process):
                     del mine.open[process]
             mine.open[other.me.process] = self._count
             mine.heard[other.me.process] = self.time
@@ -380,7 +380,7 @@
 
     def is_cut(self, one: str, other: str) -> bool:
         """Whether nothing passes between two processes."""
-        return frozenset((node_of(one), node_of(other))) in self.cut
+        return frozenset((instance_of(one), instance_of(other))) in self.cut
 
     def cut_apart(self, one: str, other: str, seconds: float) -> None:
         """Cut two instances apart silently for a while."""
@@ -462,7 +462,7 @@
         estimate_ms: int | None = None,
         failures: int = 0,
         job_id: str = "",
-        queue: QueueRules = QUEUE,
+        queue: QueueConfig = QUEUE,
         time_limit_s: float = 5.0,
         works: tuple[float, ...] = (),
         payload: str = "x",
@@ -471,20 +471,20 @@
         self._jobs += 1
         name = job_id or f"{self._jobs:016x}"
         guess_ms = int(run_s * 1000) if estimate_ms is None else estimate_ms
-        step = StepSpec(tasks, Room(cpu, 64, 0), guess_ms)
+        step = StepSpec(tasks, Resources(cpu, 64, 0), guess_ms)
         spec = JobSpec(name, payload, (step,))
         for index in range(tasks):
             each_s = works[index] if works else run_s
             self.works[f"{name}.0.0.{index}"] = (step, Work(each_s, failures))
         node = self.entries[entry]
         assert node.entry is not None
-        ticket = node.entry.submit(spec, queue, time_limit_s)
-        asked = Asked(spec, queue, self.time, run_s, ticket)
+        handle = node.entry.submit(spec, queue, time_limit_s)
+        asked = Asked(spec, queue, self.time, run_s, handle)
         self.asked.append(asked)
-        if ticket.verdict is not None:
+        if handle.result is not None:
             asked.ended_at = self.time
         else:
-            ticket.done = _EndNote(self, asked)
+            handle.done = _EndNote(self, asked)
         return asked
 
     def note_start(self, endpoint: FakeEndpoint, task: str, late: bool) -> None:
@@ -503,8 +503,8 @@
         """Jobs of which every submission was said not to have run, though a task has started."""
         answers: dict[str, set[str]] = defaultdict(set)
         for each in self.asked:
-            verdict = each.ticket.verdict
-            answers[each.spec.job_id].add("none" if verdict is None else verdict.outcome.value)
+            result = each.handle.result
+            answers[each.spec.job_id].add("none" if result is None else result.outcome.value)
         refused = [job_id for job_id, given in answers.items() if given == {"not_run"}]
         started = {task.partition(".")[0] for task in self.started}
         return [job_id for job_id in refused if job_id in started]
--- a/bench/world.py
+++ b/bench/world.py
@@ -9,27 +9,27 @@
 from typing import Any, ClassVar
 
 from bench.check import Given, Start, Violation, violations
-from gentianmux.board import Board
 from gentianmux.clock import Clock
 from gentianmux.codes import ResultCode
 from gentianmux.coordinator import Coordinator
-from gentianmux.dispatcher import TRY_AGAIN
-from gentianmux.endpoint_client import Run
+from gentianmux.dispatcher import RETRYABLE_CODES
+from gentianmux.endpoint_client import TaskOutcome
 from gentianmux.errors import LogError
 from gentianmux.executor import Executor
 from gentianmux.fleet_state import FleetState
 from gentianmux.follower import Follower
 from gentianmux.handlers import handle
 from gentianmux.ids import NO_TIME, shard_of
-from gentianmux.log_watch import LogWatch
-from gentianmux.membership import State
-from gentianmux.memory_log import MemoryLog, Record
+from gentianmux.membership import ProcessState
 from gentianmux.messages import Answer, MemberUpdate, Message, Submit, Task
-from gentianmux.node import announce
+from gentianmux.node import make_join
+from gentianmux.node_context import NodeContext
 from gentianmux.placement import Placement
+from gentianmux.platform_log import MemoryLog, Record
 from gentianmux.settings import Settings
-from gentianmux.shard_keeper import ShardKeeper
+from gentianmux.shard_manager import ShardManager
 from gentianmux.start_records import JobRecord, TaskRecord
+from gentianmux.stream_reader import StreamReader
 from gentianmux.witness import Witness
 
 EPOCH_MS = 1_700_000_000_000
@@ -56,11 +56,11 @@
     def now_ms(self) -> int:
         return EPOCH_MS + int(self._world.time * 1000) + self.skew_ms
 
-    def later(self, delay_s: float, call: Callable[..., Any], *args: Any) -> None:
+    def call_later(self, delay_s: float, call: Callable[..., Any], *args: Any) -> None:
         self._world.at(delay_s, self._name, call, *args)
 
-    def soon(self, call: Callable[..., Any], *args: Any) -> None:
-        self.later(0.0, call, *args)
+    def call_soon(self, call: Callable[..., Any], *args: Any) -> None:
+        self.call_later(0.0, call, *args)
 
 
 class FakeLog:
@@ -101,7 +101,7 @@
         self._world.deliver(self._process, process, msg)
         return True
 
-    def knock(self, process: str) -> None:
+    def ensure_connected(self, process: str) -> None:
         self._world.deliver(self._process, process, None)
 
     def is_connected(self, process: str) -> bool:
@@ -112,22 +112,22 @@
     """What a process thinks of others: right, but some time late."""
 
     isolated = False
-    heard: ClassVar[dict[str, Any]] = {}
+    peer_versions: ClassVar[dict[str, Any]] = {}
 
     def __init__(self, world: "World", process: str) -> None:
         self._world = world
         self._process = process
 
-    def state_of(self, process: str) -> State:
+    def state_of(self, process: str) -> ProcessState:
         silent_s = self._world.silent_s(self._process, process)
         if process in self._world.leaving and silent_s < SUSPECT_S:
-            return State.LEAVING
+            return ProcessState.LEAVING
         if silent_s < SUSPECT_S:
-            return State.ALIVE
-        return State.SUSPECT if silent_s < 2 * SUSPECT_S else State.DEAD
+            return ProcessState.ALIVE
+        return ProcessState.SUSPECT if silent_s < 2 * SUSPECT_S else ProcessState.DEAD
 
     def is_alive(self, process: str) -> bool:
-        return self.state_of(process) is State.ALIVE
+        return self.state_of(process) is ProcessState.ALIVE
 
     def alive(self, role: str = "") -> list[MemberUpdate]:
         nodes = [node for node in self._world.nodes.values() if self.is_alive(node.process)]
@@ -139,7 +139,7 @@
     def get(self, process: str) -> MemberUpdate | None:
         return None
 
-    def learn(self, joins: Any, now: float) -> None:
+    def add_joined(self, joins: Any, now: float) -> None:
         return
 
     def leave(self) -> None:
@@ -153,27 +153,27 @@
         cfg = world.cfg._replace(
             name=name, peer_address=f"10.0.0.{int(name[1:]) + 1}:1", failure_domain=f"fd{name[1:]}"
         )
-        me = announce(cfg, incarnation)
+        me = make_join(cfg, incarnation)
         self.name = name
         self.process = me.process
-        self.board = Board(cfg, me, FakeLog(world, name), FakeClock(world, me.process))
-        self.board.members = FakeMembers(world, me.process)  # type: ignore[assignment]
-        self.board.peers = FakePeers(world, me.process)  # type: ignore[assignment]
-        ShardKeeper(self.board)
-        Coordinator(self.board)
-        Placement(self.board)
-        executor = Executor(self.board)
+        self.ctx = NodeContext(cfg, me, FakeLog(world, name), FakeClock(world, me.process))
+        self.ctx.membership = FakeMembers(world, me.process)  # type: ignore[assignment]
+        self.ctx.peers = FakePeers(world, me.process)  # type: ignore[assignment]
+        ShardManager(self.ctx)
+        Coordinator(self.ctx)
+        Placement(self.ctx)
+        executor = Executor(self.ctx)
         self._world = world
         executor.launch = self._launch  # type: ignore[method-assign]
-        Witness(self.board)
-        self.watch = LogWatch(self.board)
+        Witness(self.ctx)
+        self.stream_reader = StreamReader(self.ctx)
         self.paused = False
         self.dead = False
         self.silent_since: float | None = None
         for period_s, step in (
-            (0.5, self.watch.read),
-            (0.5, self.board.keeper.step),
-            (0.2, self.board.coordinator.step),
+            (0.5, self.stream_reader.read),
+            (0.5, self.ctx.shard_manager.step),
+            (0.2, self.ctx.coordinator.step),
             (1.0, self._react),
         ):
             world.at(world.rng.random() * period_s, self.process, self._every, period_s, step)
@@ -183,22 +183,22 @@
         self._world.at(period_s, self.process, self._every, period_s, step)
 
     def _react(self) -> None:
-        self.board.witness.check_dead()
-        if self.board.read_soon.is_set():
-            self.board.read_soon.clear()
+        self.ctx.witness.check_dead()
+        if self.ctx.read_requested.is_set():
+            self.ctx.read_requested.clear()
 
     def _launch(self, job: JobRecord, record: TaskRecord) -> None:
         world = self._world
         world.starts.append(Start(self.name, job.key, record.task.number, world.time))
-        run = Run(ResultCode.OK, record.task.payload)
+        run = TaskOutcome(ResultCode.OK, record.task.payload)
         run_s = world.run_time(self.name, record.task)
-        world.at(run_s, self.process, self.board.executor.on_ended, job, record, run)
+        world.at(run_s, self.process, self.ctx.executor.on_task_ended, job, record, run)
 
     def lost(self, process: str, refused: bool) -> None:
         """React to a lost connection as the real handlers do."""
-        self.board.coordinator.on_lost(process, True, refused)
+        self.ctx.coordinator.on_lost(process, True, refused)
         if refused:
-            self.board.witness.on_refused(process)
+            self.ctx.witness.on_refused(process)
 
 
 class FakeEntry:
@@ -249,7 +249,7 @@
             return
         msg, began, unsure = pending
         code = ResultCode(answer.code)
-        if code in TRY_AGAIN:
+        if code in RETRYABLE_CODES:
             unsure = unsure or code is ResultCode.STALE_EPOCH
             self._world.at(RETRY_S, "", self._try, msg, began, unsure)
         else:
@@ -403,7 +403,7 @@
             self.at(arrives - self.time, process, self._hand, process, msg, sender)
 
     def _hand(self, process: str, msg: Message, sender: str) -> None:
-        handle(msg, self.nodes[process].board, sender)
+        handle(msg, self.nodes[process].ctx, sender)
 
     def _lose(self, sender: str, process: str, refused: bool) -> None:
         node = self.nodes.get(sender)
--- a/src/gentianmux/frames.py
+++ b/src/gentianmux/frames.py
@@ -12,12 +12,12 @@
 _LENGTH = struct.Struct("!I")
 
 
-def seal(body: bytes, key: bytes = b"") -> bytes:
+def add_digest(body: bytes, key: bytes = b"") -> bytes:
     """Put a keyed digest before a message body."""
     return blake2b(body, digest_size=DIGEST_BYTES, key=key).digest() + body
 
 
-def unseal(sealed: bytes, key: bytes = b"") -> bytes:
+def verify_digest(sealed: bytes, key: bytes = b"") -> bytes:
     """Check the digest and return the message body.
 
     The codec must not see bytes that no peer made: an error inside it, raised in a greenlet,
@@ -29,14 +29,14 @@
         ``BAD_FRAME`` when the digest does not match.
     """
     body = sealed[DIGEST_BYTES:]
-    if seal(body, key) != sealed:
+    if add_digest(body, key) != sealed:
         raise FrameError(ResultCode.BAD_FRAME, "the digest does not match")
     return body
 
 
-def pack(body: bytes, key: bytes = b"") -> bytes:
+def pack_frame(body: bytes, key: bytes = b"") -> bytes:
     """Make a frame of a message body."""
-    sealed = seal(body, key)
+    sealed = add_digest(body, key)
     return _LENGTH.pack(len(sealed)) + sealed
 
 
@@ -63,7 +63,7 @@
 
     Examples
     --------
-    >>> list(split_frames([pack(b"hi")[:5], pack(b"hi")[5:]]))
+    >>> list(split_frames([pack_frame(b"hi")[:5], pack_frame(b"hi")[5:]]))
     [b'hi']
     """
     buffer = bytearray()
@@ -81,6 +81,6 @@
         end = start + _LENGTH.size + length
         if len(buffer) < end:
             break
-        yield unseal(bytes(buffer[start + _LENGTH.size : end]), key)
+        yield verify_digest(bytes(buffer[start + _LENGTH.size : end]), key)
         start = end
     del buffer[:start]
--- /dev/null
+++ b/src/gentianmux/leased/agent_context.py
@@ -0,0 +1,145 @@
+"""State and components that the parts of an agent share."""
+
+from loguru import logger
+
+from ..clock import Clock
+from ..metrics import Metrics
+from .config_feed import ConfigFeed
+from .endpoint_health import EndpointHealth
+from .endpoint_poller import EndpointPoller
+from .endpoint_tracker import EndpointTracker
+from .entry_reporter import EntryReporter
+from .links import Links
+from .model import EndpointDriver, EndpointReport, RunOutcome
+from .resources import NO_RESOURCES, Resources
+from .run_table import FinishedRun, RunTable
+from .settings import LeasedSettings, lease_s
+from .shutdown import UNBOUNDED_ESTIMATE_MS, max_estimate_ms
+
+
+class AgentContext:
+    """Shared state of an agent: its endpoint, the runs there, and its connections to entries.
+
+    Parameters
+    ----------
+    cfg : LeasedSettings
+        Settings of the process.
+    driver : EndpointDriver
+        Client of the endpoint.
+    links : Links
+        Connections to entries.
+    feed : ConfigFeed
+        Newest configuration and evacuations.
+    metrics : Metrics
+        Counters and histograms.
+    clock : Clock
+        Monotonic time and deferred calls.
+
+    Attributes
+    ----------
+    table : RunTable
+        Runs at the endpoint and the resources that they hold.
+    health : EndpointHealth
+        Health of the endpoint; replaced with each of its incarnations.
+    shutting_down : bool
+        Whether the process was told to stop.
+    shutdown_at : float
+        Monotonic time by which runs have to end then, in seconds.
+    tracker, poller, reporter : EndpointTracker, EndpointPoller, EntryReporter
+        Set by the agent, as they call back into it.
+    """
+
+    tracker: EndpointTracker
+    poller: EndpointPoller
+    reporter: EntryReporter
+
+    def __init__(
+        self,
+        cfg: LeasedSettings,
+        driver: EndpointDriver,
+        links: Links,
+        feed: ConfigFeed,
+        metrics: Metrics,
+        clock: Clock,
+    ) -> None:
+        self.cfg = cfg
+        self.driver = driver
+        self.links = links
+        self.feed = feed
+        self.metrics = metrics
+        self.clock = clock
+        self.table = RunTable()
+        self.health = EndpointHealth()
+        self.lease_s = lease_s(cfg)
+        self.shutting_down = False
+        self.shutdown_at = float("inf")
+
+    @property
+    def report(self) -> EndpointReport | None:
+        """Newest heartbeat of the current incarnation of the endpoint."""
+        return self.tracker.report
+
+    @property
+    def is_evacuated(self) -> bool:
+        """Whether the endpoint's failure domain is being evacuated; active runs go on."""
+        report = self.report
+        return report is not None and self.feed.evacuations.covers(report.failure_domain)
+
+    @property
+    def is_accepting(self) -> bool:
+        """Whether new runs may begin here."""
+        ready = self.report is not None and not self.report.draining and not self.is_evacuated
+        return (
+            ready
+            and self.poller.is_responsive
+            and self.table.is_reconciled
+            and self.max_estimate_ms() > 0
+        )
+
+    def max_estimate_ms(self) -> int:
+        """Longest estimate of a run that may still begin here, in ms."""
+        if not self.shutting_down:
+            return UNBOUNDED_ESTIMATE_MS
+        return max_estimate_ms(self.shutdown_at - self.clock.now())
+
+    def offered(self) -> Resources:
+        """Resources that new runs may use now."""
+        if not self.is_accepting:
+            return NO_RESOURCES
+        return self.health.offered(
+            self.table.resources.free, len(self.table.runs), self.clock.now()
+        )
+
+    def handle_finished(self, finished: list[FinishedRun]) -> None:
+        """Report finished runs to their entries and update the endpoint's health."""
+        now = self.clock.now()
+        for run, how in finished:
+            ran_s = now - run.began
+            if how in (RunOutcome.DONE, RunOutcome.FAILED):
+                ratio = ran_s * 1000 / max(1, run.estimate_ms) if how is RunOutcome.DONE else None
+                self.health.ended(job_id_of(run.key[0]), how is RunOutcome.FAILED, ratio, now)
+            self.metrics.count("runs_ended", label=how.name.lower())
+            self.metrics.observe("run_seconds", ran_s, label=how.name.lower())
+            logger.bind(
+                task=run.key[0],
+                run=run.key[1],
+                peer=run.entry,
+                how=how.name.lower(),
+                ran_ms=round(ran_s * 1000),
+                estimate_ms=run.estimate_ms,
+                percent=run.progress.percent,
+            ).info("run ended")
+            self.reporter.record_ended(run.entry, *run.key, how, int(ran_s * 1000))
+        for entry in {run.entry for run, _ in finished}:
+            self.reporter.send_ended(entry)
+        if self.health.is_ejected(now):
+            self.reporter.schedule_report()
+
+    def has_runs_of(self, entry: str) -> bool:
+        """Whether an entry has active runs here."""
+        return any(run.entry == entry for run in self.table.runs.values())
+
+
+def job_id_of(task: str) -> str:
+    """Id of the job that a task belongs to."""
+    return task.partition(".")[0]
--- a/src/gentianmux/leased/backlog.py
+++ b/src/gentianmux/leased/backlog.py
@@ -5,9 +5,9 @@
 from math import inf
 from typing import NamedTuple
 
-from .admission import urgency
+from .admission_policy import urgency
 from .job_state import JobState, Waiting
-from .room import NO_ROOM, Room
+from .resources import NO_RESOURCES, Resources
 
 Kind = tuple[bool, bool, int]
 """A kind of urgency: served late, not begun, priority."""
@@ -34,7 +34,7 @@
     ----------
     kind : tuple
         The kind of urgency.
-    total : Room
+    total : Resources
         What all of it takes.
     least_cpu : int
         Processors that its smallest task takes, in thousandths of a core.
@@ -43,7 +43,7 @@
     """
 
     kind: Kind
-    total: Room
+    total: Resources
     least_cpu: int
     begin_by: float
 
@@ -52,7 +52,7 @@
     """Keeps the demand of one kind as jobs come and go."""
 
     def __init__(self) -> None:
-        self.total = NO_ROOM
+        self.total = NO_RESOURCES
         self.least_cpus: list[int] = []
 
     def add(self, waiting: Waiting) -> None:
@@ -102,7 +102,7 @@
     Examples
     --------
     ``backlog.put(job)`` when tasks of a job wait, also after its urgency has changed;
-    ``backlog.of("intake")`` gives what waits for a service, the most urgent first.
+    ``backlog.get_or_add("intake")`` gives what waits for a service, the most urgent first.
     """
 
     def __init__(self) -> None:
@@ -124,7 +124,7 @@
         """Services for which something waits."""
         return list(self._queues)
 
-    def of(self, service: str) -> list[JobState]:
+    def get_or_add(self, service: str) -> list[JobState]:
         """Jobs that wait for a service, the most urgent first."""
         queue = self._queues.get(service)
         return [] if queue is None else [place.job for place in queue.places]
--- a/src/gentianmux/leased/config_handing.py
+++ b/src/gentianmux/leased/config_transfer.py
@@ -35,7 +35,7 @@
     got: bytearray
 
 
-class ConfigHanding:
+class ConfigTransfer:
     """Asks one peer for a newer configuration, and gives peers pieces of the present one.
 
     The configuration is nothing that an agent acts on: it keeps it for entries that start while
@@ -52,8 +52,8 @@
 
     Examples
     --------
-    ``handing.heard_of("e1.5", 7)`` when a peer says that it has version 7;
-    ``handing.wanted(msg, "e1.5")`` and ``handing.take(msg, "e1.5")`` for what it sends.
+    ``handing.on_version("e1.5", 7)`` when a peer says that it has version 7;
+    ``handing.on_wanted(msg, "e1.5")`` and ``handing.take(msg, "e1.5")`` for what it sends.
     """
 
     def __init__(self, feed: ConfigFeed, links: Links, clock: Clock) -> None:
@@ -65,7 +65,7 @@
         self._sending = False
         self._packed: tuple[int, bytes] = (-1, b"")
 
-    def heard_of(self, process: str, version: int) -> None:
+    def on_version(self, process: str, version: int) -> None:
         """Ask a peer for its configuration if it is newer, and nobody is being asked."""
         if version <= self._feed.version:
             return
@@ -103,9 +103,9 @@
         except zlib.error as exc:
             logger.bind(peer=process, reason=str(exc)).error("configuration unreadable")
             return
-        self._feed.offered(raw, f"peer {process}")
+        self._feed.apply_if_newer(raw, f"peer {process}")
 
-    def wanted(self, msg: ConfigWanted, process: str) -> None:
+    def on_wanted(self, msg: ConfigWanted, process: str) -> None:
         """Give a peer the piece that it asks for, in its turn."""
         self._asked = deque(each for each in self._asked if each[0] != process)
         offset = msg.offset if msg.version == self._feed.version else 0
@@ -121,7 +121,7 @@
         packed = self._pack()
         body = packed[offset : offset + PIECE_BYTES]
         self._links.send(process, ConfigPiece(self._feed.version, offset, len(packed), body))
-        self._clock.later(PIECE_GAP_S, self._send_next)
+        self._clock.call_later(PIECE_GAP_S, self._send_next)
 
     def _pack(self) -> bytes:
         version, packed = self._packed
--- a/src/gentianmux/leased/job_state.py
+++ b/src/gentianmux/leased/job_state.py
@@ -5,14 +5,14 @@
 from enum import Enum
 from typing import NamedTuple
 
-from .model import How, JobSpec, QueueRules, StepSpec
-from .payloads import pack
-from .room import NO_ROOM, Room
+from .model import JobSpec, QueueConfig, RunOutcome, StepSpec
+from .payloads import encode_payload
+from .resources import NO_RESOURCES, Resources
 
 FIRST_RUN = 1
 """Runs of a task are numbered from here."""
 
-USEFUL_FOR = 3.0
+USEFUL_OBJECTIVE_FACTOR = 3.0
 """Multiples of its latency objective up to which an answer still is of use to its caller; from the
 users' pages."""
 
@@ -35,7 +35,7 @@
     DONE = "done"
 
 
-class Prospect(Enum):
+class Timeliness(Enum):
     """What is expected of a waiting job."""
 
     OPEN = "open"
@@ -43,7 +43,7 @@
     LATE = "late"
 
 
-class Outcome(Enum):
+class JobOutcome(Enum):
     """What became of a job."""
 
     COMPLETED = "completed"
@@ -71,8 +71,8 @@
 class Waiting(NamedTuple):
     """What the tasks of a job that can begin take: together, and the smallest of them."""
 
-    total: Room
-    least: Room
+    total: Resources
+    least: Resources
 
 
 class JobState:
@@ -82,7 +82,7 @@
     ----------
     spec : JobSpec
         What the caller asked for.
-    queue : QueueRules
+    queue : QueueConfig
         The rules of its queue.
     now : float
         Monotonic time of its arrival, in seconds.
@@ -95,7 +95,7 @@
         Latency objective: the stretched estimate of the longest chain, and the allowance.
     began : bool
         Whether a task of it was handed to an agent.
-    prospect : Prospect
+    timeliness : Timeliness
         Whether it is expected to be in time, once that has been decided.
     latest_start : float
         When the job has to begin to meet its objective, by its estimate.
@@ -111,7 +111,7 @@
         What a task takes of a link: its payload goes once to each endpoint, to two tasks or more.
     """
 
-    def __init__(self, spec: JobSpec, queue: QueueRules, now: float, deadline: float) -> None:
+    def __init__(self, spec: JobSpec, queue: QueueConfig, now: float, deadline: float) -> None:
         self.spec = spec
         self.queue = queue
         self.arrived = now
@@ -119,14 +119,14 @@
         self.chain_s = longest_chain_s(spec)
         self.objective_s = queue.stretch * self.chain_s + queue.target_ms / 1000
         self.latest_start = now + self.objective_s - self.chain_s
-        useful_s = USEFUL_MARGIN * USEFUL_FOR * self.objective_s
+        useful_s = USEFUL_MARGIN * USEFUL_OBJECTIVE_FACTOR * self.objective_s
         self.last_useful_start = now + useful_s - self.chain_s
         self.work_cpu_s = sum(s.tasks * s.need.cpu * s.estimate_ms for s in spec.steps) / 1e6
         self.cpu = sum(s.tasks * s.need.cpu for s in spec.steps) / 1000
-        self.payload = pack(spec.payload)
+        self.payload = encode_payload(spec.payload)
         self.bytes_a_task = len(self.payload) // 2 + TASK_BYTES
         self.began = False
-        self.prospect = Prospect.OPEN
+        self.timeliness = Timeliness.OPEN
         self.may_have_run = False
         self.failed = False
         self.tasks: dict[str, TaskState] = {}
@@ -163,8 +163,8 @@
         """What the tasks that can begin take; nothing when none can."""
         if self._waiting is None:
             needs = [self.step_of(task).need for task in self.ready()]
-            total = Room(*map(sum, zip(*needs, strict=True))) if needs else NO_ROOM
-            self._waiting = Waiting(total, min(needs, default=NO_ROOM))
+            total = Resources(*map(sum, zip(*needs, strict=True))) if needs else NO_RESOURCES
+            self._waiting = Waiting(total, min(needs, default=NO_RESOURCES))
         return self._waiting
 
     def _changed(self) -> None:
@@ -196,7 +196,7 @@
         self._changed()
         return task.run
 
-    def ended(self, name: str, run: int, how: How) -> bool:
+    def ended(self, name: str, run: int, how: RunOutcome) -> bool:
         """Take in how a run ended; false for one that is not, or no longer, out."""
         task = self.tasks.get(name)
         if task is None or task.phase is not Phase.OUT or task.run != run:
@@ -204,16 +204,16 @@
         if not how.never_ran:
             self.may_have_run = True
         self._changed()
-        if how is How.DONE:
+        if how is RunOutcome.DONE:
             task.phase = Phase.DONE
             self._left -= 1
             return True
         task.phase = Phase.WAITING
-        if how is How.OLD_RUN:
+        if how is RunOutcome.OLD_RUN:
             task.run += OLD_RUN_STEP
-        elif how not in (How.NO_ROOM, How.DRAINING):
+        elif how not in (RunOutcome.NO_ROOM, RunOutcome.DRAINING):
             task.avoid.add(task.life)
-        if how is How.FAILED:
+        if how is RunOutcome.FAILED:
             task.failures += 1
             self.failed = self.failed or task.failures >= self.queue.max_attempts
         return True
--- /dev/null
+++ b/src/gentianmux/leased/run_monitor.py
@@ -0,0 +1,68 @@
+"""Monitors the runs at an agent's endpoint and stops those that will not end in time."""
+
+from .agent_context import AgentContext
+from .model import RunOutcome
+from .progress import SLOW_FACTOR
+from .run_stopper import RunStopper
+from .run_table import Phase, Run
+
+SLOW_MARGIN_MS = 100
+"""Tolerance for the resolution at which progress is observed."""
+
+DRAIN_OVERRUN_S = 0.3
+"""How far a run may exceed the time left at a draining endpoint before it is moved."""
+
+
+class RunMonitor:
+    """Stops runs that stall or that a draining endpoint cannot finish.
+
+    Parameters
+    ----------
+    ctx : AgentContext
+        Shared state of the agent.
+    stopper : RunStopper
+        Stops the runs that are found.
+
+    Examples
+    --------
+    ``monitor.check_progress()`` after each poll.
+    """
+
+    def __init__(self, ctx: AgentContext, stopper: RunStopper) -> None:
+        self._ctx = ctx
+        self._stopper = stopper
+
+    def check_progress(self) -> None:
+        """Stop stalled runs, and eject the endpoint while most of its runs are slow."""
+        now = self._ctx.clock.now()
+        running = [run for run in self._ctx.table.runs.values() if run.phase is Phase.RUNNING]
+        stalled = [run for run in running if run.progress.is_stalled(now)]
+        for run in stalled:
+            self._stopper.stop(
+                run.key, RunOutcome.STALLED, f"no progress beyond {run.progress.percent:.0f} %"
+            )
+        if stalled:
+            self._ctx.metrics.count("runs_stalled", len(stalled))
+            self._ctx.health.stalled(len(stalled), now)
+        slow = [run for run in running if self._is_slow(run, now)]
+        if len(slow) >= 2 and len(slow) * 2 > len(running):
+            self._ctx.health.eject(now)
+        if self._ctx.health.is_ejected(now):
+            self._ctx.reporter.schedule_report()
+
+    def _is_slow(self, run: Run, now: float) -> bool:
+        run_time_ms = run.progress.projected_ms(now)
+        return (
+            run_time_ms is not None and run_time_ms > SLOW_FACTOR * run.estimate_ms + SLOW_MARGIN_MS
+        )
+
+    def stop_unfinishable(self, remaining_s: float) -> None:
+        """Stop runs that the draining endpoint will not finish, so that they run elsewhere."""
+        now = self._ctx.clock.now()
+        for run in list(self._ctx.table.runs.values()):
+            run_time_ms = run.progress.projected_ms(now) or float(run.estimate_ms)
+            left_s = run_time_ms / 1000 - (now - run.began)
+            if run.phase is Phase.RUNNING and left_s > remaining_s + DRAIN_OVERRUN_S:
+                self._stopper.stop(
+                    run.key, RunOutcome.STOPPED, "the endpoint drains before it would end"
+                )
--- /dev/null
+++ b/src/gentianmux/leased/run_stopper.py
@@ -0,0 +1,53 @@
+"""Stops runs at an agent's endpoint, repeating each command until it is confirmed."""
+
+from loguru import logger
+
+from .agent_context import AgentContext
+from .model import RunOutcome
+from .run_table import RunKey
+
+
+class RunStopper:
+    """Stops runs that are no longer wanted or must not go on.
+
+    Parameters
+    ----------
+    ctx : AgentContext
+        Shared state of the agent.
+
+    Examples
+    --------
+    ``stopper.stop(key, RunOutcome.STOPPED, "withdrawn")``, and ``stopper.send_due_stops()`` once
+    all runs to be stopped are marked.
+    """
+
+    def __init__(self, ctx: AgentContext) -> None:
+        self._ctx = ctx
+
+    def stop(self, key: RunKey, outcome: RunOutcome, reason: str) -> None:
+        """Mark a run to be stopped; it keeps its resources until a poll shows that it ended."""
+        if self._ctx.table.request_stop(key, outcome):
+            self._ctx.metrics.count("runs_stopped", label=outcome.name.lower())
+            logger.bind(task=key[0], run=key[1], reason=reason).info("run stopped")
+
+    def send_due_stops(self) -> None:
+        """Send the endpoint the stops that it has not confirmed."""
+        for key in self._ctx.table.due_stops(self._ctx.clock.now()):
+            self._ctx.clock.call_soon(self._send_stop, key)
+
+    def _send_stop(self, key: RunKey) -> None:
+        if self._ctx.driver.stop(*key):
+            self._ctx.table.stop_confirmed(key, self._ctx.clock.now())
+            if key in self._ctx.table.runs and self._ctx.table.runs[key].stop_outcome.never_ran:
+                self._ctx.poller.poll_now()
+
+    def stop_expired(self) -> None:
+        """Stop the runs of entries whose lease has expired.
+
+        Called before each renewal too: a process that was paused may poll before it checks leases.
+        """
+        now = self._ctx.clock.now()
+        for run in list(self._ctx.table.runs.values()):
+            if not self._ctx.reporter.leases.holds(run.entry, now):
+                self.stop(run.key, RunOutcome.STOPPED, f"{run.entry} no longer echoes")
+        self.send_due_stops()
--- a/src/gentianmux/board.py
+++ b/src/gentianmux/node_context.py
@@ -5,36 +5,36 @@
 
 from gevent.event import Event
 
-from .claims import Claims
 from .clock import Clock
 from .config_state import ConfigState
 from .fleet_records import Join
 from .fleet_state import FleetState
 from .ids import shard_of
+from .member_claims import Claims
 from .membership import Membership, Timing, describe
-from .memory_log import PlatformLog
 from .metrics import Metrics
+from .platform_log import PlatformLog
 from .settings import Settings
 
 if TYPE_CHECKING:
     from .coordinator import Coordinator
     from .dispatcher import Dispatcher
     from .executor import Executor
-    from .log_watch import LogWatch
     from .peers import Peers
     from .placement import Placement
-    from .shard_keeper import ShardKeeper
+    from .shard_manager import ShardManager
+    from .stream_reader import StreamReader
     from .witness import Witness
 
 
-class Board:
+class NodeContext:
     """The one object that is passed whole to every controller.
 
     Parameters
     ----------
     cfg : Settings
         The settings.
-    me : Join
+    identity : Join
         How this process announces itself.
     log : PlatformLog
         The platform's log.
@@ -44,16 +44,16 @@
     Notes
     -----
     Controllers put themselves on the board: ``peers`` everywhere, ``dispatcher`` at entries,
-    ``keeper``, ``coordinator`` and ``executor`` at agents.
+    ``shard_manager``, ``coordinator`` and ``executor`` at agents.
     """
 
     peers: "Peers"
     dispatcher: "Dispatcher"
-    keeper: "ShardKeeper"
+    shard_manager: "ShardKeeper"
     coordinator: "Coordinator"
     executor: "Executor"
     witness: "Witness"
-    watch: "LogWatch"
+    stream_reader: "LogWatch"
     placement: "Placement"
 
     def __init__(
@@ -61,7 +61,7 @@
     ) -> None:
         self.cfg = cfg
         self.clock = clock or Clock()
-        self.me = me
+        self.identity = me
         self.log = log
         self.rng = Random(me.process)
         self.config = ConfigState()
@@ -69,19 +69,19 @@
         self.metrics = Metrics(cfg)
         self.claims = Claims(self.config)
         self.draining = False
-        self.read_soon = Event()
+        self.read_requested = Event()
         timing = Timing(cfg.probe_ms / 1000, cfg.suspect_ms / 1000)
-        self.members = Membership(describe(me), timing, Random(f"gossip {me.process}"))
+        self.membership = Membership(describe(me), timing, Random(f"gossip {me.process}"))
 
     @property
     def process(self) -> str:
         """Name of this process, with its incarnation."""
-        return self.me.process
+        return self.identity.process
 
     @property
     def is_agent(self) -> bool:
         """Whether this process starts tasks and may own shards."""
-        return self.me.role in ("agent", "standalone")
+        return self.identity.role in ("agent", "standalone")
 
     def shard_of(self, key: str) -> int:
         """The shard that a key belongs to."""
@@ -92,7 +92,7 @@
         joined = self.fleet.processes.get(process)
         if joined is not None:
             return joined.address
-        heard = self.members.get(process)
+        heard = self.membership.get(process)
         return None if heard is None else heard.address
 
     def now(self) -> float:
--- a/src/gentianmux/platform/callers.py
+++ b/src/gentianmux/platform/callers.py
@@ -11,12 +11,12 @@
 from ..codes import ResultCode
 from ..errors import GentianmuxError
 from ..http_server import read_body
-from ..leased.caller_watch import wait_for_verdict
+from ..leased.caller_watch import wait_for_result
 from ..leased.config_feed import ConfigFeed
 from ..leased.entry import Entry
-from ..leased.job_state import Outcome
-from ..leased.model import JobSpec, QueueRules, RequestLimits, StepSpec
-from ..leased.room import Room
+from ..leased.job_state import JobOutcome
+from ..leased.model import JobSpec, QueueConfig, RequestLimits, StepSpec
+from ..leased.resources import Resources
 from ..metrics import Metrics
 from ..settings import Settings
 
@@ -44,7 +44,7 @@
     "target_ms",
     "max_unavailable",
 )
-_STATES = {Outcome.COMPLETED: "completed", Outcome.FAILED: "failed"}
+_STATES = {JobOutcome.COMPLETED: "completed", JobOutcome.FAILED: "failed"}
 _REASONS = {status.value: status.phrase for status in HTTPStatus}
 
 StartResponse = Callable[..., Any]
@@ -111,7 +111,7 @@
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
         if response.retry_after_s:
             headers.append(("Retry-After", str(response.retry_after_s)))
-        if self._entry.leaving:
+        if self._entry.shutting_down:
             headers.append(("Connection", "close"))
         start_response(f"{response.status} {_REASONS[response.status]}", headers)
         return [body]
@@ -120,7 +120,7 @@
         queue, rest = self._queue_of(environ)
         method = environ["REQUEST_METHOD"]
         if method == "GET" and not rest:
-            return Response(200, {"pending": self._entry.pending(queue.name)})
+            return Response(200, {"pending": self._entry.unstarted_jobs(queue.name)})
         if not _JOB_ID.match(rest):
             raise GentianmuxError(ResultCode.BAD_ID, "a job id has 16 hexadecimal digits")
         if method == "POST":
@@ -132,7 +132,7 @@
             return Response(410, {"error": "no such job is kept"})
         raise GentianmuxError(ResultCode.METHOD_NOT_ALLOWED, method)
 
-    def _queue_of(self, environ: dict[str, Any]) -> tuple[QueueRules, str]:
+    def _queue_of(self, environ: dict[str, Any]) -> tuple[QueueConfig, str]:
         config = self._feed.first(FIRST_CONFIG_S)
         if config is None:
             raise GentianmuxError(ResultCode.CONFIG_MISSING, retry_after_ms=RETRY_AFTER_S * 1000)
@@ -144,23 +144,23 @@
         queue = max(found, key=lambda each: len(each.prefix))
         return queue, path[len(queue.prefix) :]
 
-    def _submit(self, environ: dict[str, Any], queue: QueueRules, job_id: str) -> Response:
+    def _submit(self, environ: dict[str, Any], queue: QueueConfig, job_id: str) -> Response:
         time_limit_s = _time_limit_s(environ, queue)
         spec = read_job(job_id, read_body(environ, self._cfg))
-        if not self._entry.takes(spec):
+        if not self._entry.accepts(spec):
             raise GentianmuxError(ResultCode.DRAINING, retry_after_ms=RETRY_AFTER_S * 1000)
-        ticket = self._entry.submit(spec, queue, time_limit_s)
-        verdict = wait_for_verdict(self._entry, ticket, environ.get("gentianmux.socket"))
-        if verdict.outcome in _STATES:
-            return Response(200, {"state": _STATES[verdict.outcome]})
-        if verdict.outcome is Outcome.CANCELLED:
+        handle = self._entry.submit(spec, queue, time_limit_s)
+        result = wait_for_result(self._entry, handle, environ.get("gentianmux.socket"))
+        if result.outcome in _STATES:
+            return Response(200, {"state": _STATES[result.outcome]})
+        if result.outcome is JobOutcome.CANCELLED:
             return Response(200, {"state": "cancelled"})
-        status = 503 if verdict.outcome is Outcome.NOT_RUN else 504
-        content = {"error": verdict.reason, "job": job_id, "outcome": verdict.outcome.value}
-        return Response(status, content, verdict.retry_after_s)
+        status = 503 if result.outcome is JobOutcome.NOT_RUN else 504
+        content = {"error": result.reason, "job": job_id, "outcome": result.outcome.value}
+        return Response(status, content, result.retry_after_s)
 
 
-def _time_limit_s(environ: dict[str, Any], queue: QueueRules) -> float:
+def _time_limit_s(environ: dict[str, Any], queue: QueueConfig) -> float:
     text = environ.get("HTTP_GENTIANMUX_DEADLINE_MS", "")
     if not text:
         return max(1, queue.timeout_ms) / 1000
@@ -225,7 +225,7 @@
     # ``anti_affinity`` is a number: the most tasks of the step on one endpoint.
     return StepSpec(
         tasks=_whole(row, "count", 1),
-        need=Room(_whole(row, "cpu"), _whole(row, "mem_mb"), _whole(row, "gpu")),
+        need=Resources(_whole(row, "cpu"), _whole(row, "mem_mb"), _whole(row, "gpu")),
         estimate_ms=_whole(row, "estimate_ms"),
         after=tuple(after),
         requires=_text(row, "requires"),
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_units.py
@@ -7,33 +7,33 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gentianmux.leased.admission import (
+from gentianmux.leased.admission_policy import (
     DECIDE_SHARE,
-    LEAST_SEEN_S,
+    MIN_OBSERVATION_S,
     MISTAKE_PAUSE_S,
-    OVERTAKING,
-    Admission,
+    WAIT_FACTOR,
+    AdmissionPolicy,
     Arrivals,
     Decision,
     Load,
     retry_after_s,
     urgency,
 )
-from gentianmux.leased.chain import CHAIN_S, AgentSide, surely_over
-from gentianmux.leased.fleet_view import LOOKED_AT, FleetView, Wish
-from gentianmux.leased.health import FAILED_IN_A_ROW, EndpointHealth
-from gentianmux.leased.job_state import JobState, Phase, Prospect
-from gentianmux.leased.model import How, JobSpec, QueueRules, StepSpec
-from gentianmux.leased.progress import STALL_S, Progress
-from gentianmux.leased.room import Room, RoomAccount
+from gentianmux.leased.endpoint_health import FAILED_IN_A_ROW, EndpointHealth
+from gentianmux.leased.entry_leases import ENTRY_LEASE_S, EntryLeases, leases_expire_at
+from gentianmux.leased.fleet_view import LOOKED_AT, FleetView, PlacementRequest
+from gentianmux.leased.job_state import JobState, Phase, Timeliness
+from gentianmux.leased.model import JobSpec, QueueConfig, RunOutcome, StepSpec
+from gentianmux.leased.progress import STALL_S, RunProgress
+from gentianmux.leased.resources import ResourcePool, Resources
 from gentianmux.leased.settings import LeasedSettings, lease_s
 from gentianmux.messages import AgentLoad, EndpointState
 
-QUEUE = QueueRules("q", "h", "/q/", "s", 5000, 60, 0, 3, 1.6)
+QUEUE = QueueConfig("q", "h", "/q/", "s", 5000, 60, 0, 3, 1.6)
 
 
 def job(number: int = 1, tasks: int = 2, estimate_ms: int = 400, arrived: float = 0.0) -> JobState:
-    spec = JobSpec(f"{number:016x}", "", (StepSpec(tasks, Room(1600, 64), estimate_ms),))
+    spec = JobSpec(f"{number:016x}", "", (StepSpec(tasks, Resources(1600, 64), estimate_ms),))
     return JobState(spec, QUEUE, arrived, arrived + 5.0)
 
 
@@ -44,37 +44,37 @@
 def test_room_taken_never_exceeds_the_capacity_and_all_of_it_returns(
     steps: list[tuple[int, int, bool]],
 ) -> None:
-    account = RoomAccount(Room(10, 10))
+    account = ResourcePool(Resources(10, 10))
     for run, size, takes in steps:
         if takes:
-            account.take((str(run), 1), Room(size, 1))
+            account.allocate((str(run), 1), Resources(size, 1))
         else:
-            account.give_back((str(run), 1))
+            account.release((str(run), 1))
         assert account.capacity.fits(account.used)
     for run in range(10):
-        account.give_back((str(run), 1))
-    assert account.used == Room()
+        account.release((str(run), 1))
+    assert account.used == Resources()
 
 
 # The chain of leases
 
 
 def test_the_chain_counts_from_the_sending_of_the_report_that_was_echoed() -> None:
-    side = AgentSide()
+    side = EntryLeases()
     for number in range(1, 11):
-        side.sent(number, number / 10)
-    side.echoed("e", 3)
-    assert side.holds("e", 0.3 + CHAIN_S - 0.01)
-    assert not side.holds("e", 0.3 + CHAIN_S + 0.01)
-    side.echoed("e", 2)
-    assert side.holds("e", 0.3 + CHAIN_S - 0.01)
-    side.echoed("e", 99)
+        side.record_sent(number, number / 10)
+    side.record_echo("e", 3)
+    assert side.holds("e", 0.3 + ENTRY_LEASE_S - 0.01)
+    assert not side.holds("e", 0.3 + ENTRY_LEASE_S + 0.01)
+    side.record_echo("e", 2)
+    assert side.holds("e", 0.3 + ENTRY_LEASE_S - 0.01)
+    side.record_echo("e", 99)
     assert not side.holds("e", 2.0)
 
 
 def test_all_leases_are_over_before_a_caller_sends_again() -> None:
     cfg = LeasedSettings("entry", "e", "fd", "", "")
-    assert surely_over(0.0, lease_s(cfg)) < cfg.resend_s
+    assert leases_expire_at(0.0, lease_s(cfg)) < cfg.resend_s
 
 
 # Health and progress
@@ -92,21 +92,21 @@
     for number in range(FAILED_IN_A_ROW):
         health.ended(str(number), True, None, 0.0)
     assert health.is_ejected(0.9)
-    assert health.offered(Room(9), 0, 1.1) == Room(9)
-    assert health.offered(Room(9), 1, 1.1) == Room()
+    assert health.offered(Resources(9), 0, 1.1) == Resources(9)
+    assert health.offered(Resources(9), 1, 1.1) == Resources()
     health.ended("x", True, None, 1.2)
     assert health.is_ejected(2.5)
     health.ended("y", False, 1.0, 3.0)
-    assert health.offered(Room(9), 5, 3.0) == Room(9)
+    assert health.offered(Resources(9), 5, 3.0) == Resources(9)
 
 
 def test_a_run_stalls_only_when_its_progress_stands_still() -> None:
-    progress = Progress(0.0)
+    progress = RunProgress(0.0)
     for step in range(1, 20):
-        progress = progress.seen(step, step * 0.1)
+        progress = progress.updated(step, step * 0.1)
         assert not progress.is_stalled(step * 0.1 + 0.1)
     assert progress.is_stalled(1.9 + STALL_S + 0.01)
-    assert progress.heading_for_ms(1.9) == pytest.approx(10_000, rel=0.01)
+    assert progress.projected_ms(1.9) == pytest.approx(10_000, rel=0.01)
 
 
 # The fleet
@@ -115,38 +115,38 @@
 def fleet(now: float, frees: dict[str, int], slowness: dict[str, int] | None = None) -> FleetView:
     view = FleetView(0.55, Random(1))
     for name, cpu in frees.items():
-        agent = view.of(f"{name}.1")
+        agent = view.get_or_add(f"{name}.1")
         agent.state = EndpointState(f"{name}-x", "s", "fd1", 16000, 999, 0, ["a"], True)
         load = AgentLoad(1, 0, cpu, 999, 0, (slowness or {}).get(name, 100), 1, 1, 9000)
-        agent.take_load(load, now)
+        agent.apply_report(load, now)
     return view
 
 
 def test_the_fastest_agent_with_room_is_chosen_and_then_the_emptiest() -> None:
     view = fleet(1.0, {"a": 2000, "b": 9000, "c": 16000}, {"c": 300})
-    wish = Wish("s", Room(1600, 64))
-    chosen = view.choose(wish, view.willing("s", 1.0))
+    request = PlacementRequest("s", Resources(1600, 64))
+    chosen = view.choose(request, view.eligible("s", 1.0))
     assert chosen is not None
     assert chosen.process == "b.1"
-    avoided = view.choose(wish._replace(avoid=frozenset({"b-x"})), view.willing("s", 1.0))
+    avoided = view.choose(request._replace(avoid=frozenset({"b-x"})), view.eligible("s", 1.0))
     assert avoided is not None
     assert avoided.process == "a.1"
-    assert view.choose(wish._replace(requires="z"), view.willing("s", 1.0)) is None
+    assert view.choose(request._replace(requires="z"), view.eligible("s", 1.0)) is None
 
 
 def test_room_assigned_since_the_last_report_is_not_given_away_again() -> None:
     view = fleet(1.0, {"a": 3000})
-    agent = view.of("a.1")
-    agent.reserve(1, Room(1600, 64))
-    assert view.choose(Wish("s", Room(1600, 64)), view.willing("s", 1.0)) is None
-    agent.take_load(AgentLoad(2, 1, 3000, 999, 0, 100, 1, 1, 9000), 1.1)
-    assert view.choose(Wish("s", Room(1600, 64)), view.willing("s", 1.1)) is agent
+    agent = view.get_or_add("a.1")
+    agent.reserve(1, Resources(1600, 64))
+    assert view.choose(PlacementRequest("s", Resources(1600, 64)), view.eligible("s", 1.0)) is None
+    agent.apply_report(AgentLoad(2, 1, 3000, 999, 0, 100, 1, 1, 9000), 1.1)
+    assert view.choose(PlacementRequest("s", Resources(1600, 64)), view.eligible("s", 1.1)) is agent
 
 
 def test_a_silent_agent_gets_nothing_and_is_over_only_after_every_lease() -> None:
     view = fleet(1.0, {"a": 3000})
-    assert view.willing("s", 1.2)
-    assert not view.willing("s", 1.4)
+    assert view.eligible("s", 1.2)
+    assert not view.eligible("s", 1.4)
     assert not view.is_over("a.1", 2.0)
     assert view.is_over("a.1", 2.2)
 
@@ -155,20 +155,29 @@
 
 
 def test_a_step_waits_for_the_steps_before_it() -> None:
-    first = StepSpec(2, Room(100, 1), 100)
-    second = StepSpec(1, Room(100, 1), 300, after=(0,))
+    first = StepSpec(2, Resources(100, 1), 100)
+    second = StepSpec(1, Resources(100, 1), 300, after=(0,))
     state = JobState(JobSpec("a" * 16, "", (first, second)), QUEUE, 0.0, 5.0)
     assert state.chain_s == pytest.approx(0.4)
     names = [task.name for task in state.ready()]
     assert names == [f"{'a' * 16}.0.0.0", f"{'a' * 16}.0.0.1"]
     for task in list(state.ready()):
         state.assign(task, "w", "x", 0.0)
-        state.ended(task.name, task.run, How.DONE)
+        state.ended(task.name, task.run, RunOutcome.DONE)
     assert [task.step for task in state.ready()] == [1]
 
 
-@pytest.mark.parametrize("how", [How.NO_ROOM, How.NOT_STARTED, How.OLD_RUN, How.LOST, How.STALLED])
-def test_only_failed_runs_count_as_attempts(how: How) -> None:
+@pytest.mark.parametrize(
+    "how",
+    [
+        RunOutcome.NO_ROOM,
+        RunOutcome.NOT_STARTED,
+        RunOutcome.OLD_RUN,
+        RunOutcome.LOST,
+        RunOutcome.STALLED,
+    ],
+)
+def test_only_failed_runs_count_as_attempts(how: RunOutcome) -> None:
     state = job(tasks=1)
     for _ in range(10):
         (task,) = state.ready()
@@ -182,16 +191,16 @@
 def test_jobs_are_decided_once_in_time_late_or_refused() -> None:
     due = DECIDE_SHARE * job().objective_s
     jobs = [job(number) for number in range(40)]
-    admission = Admission()
+    admission = AdmissionPolicy()
     assert admission.decide(jobs, 12.0, due - 0.01) == ([], [], [], [])
     decision = admission.decide(jobs, 12.0, due + 0.01)
     assert len(decision.kept) + len(decision.late) + len(decision.refused) == 40
     assert 0 < len(decision.kept) < 10
     assert 0 < len(decision.late) < 20
     for each in decision.kept:
-        each.prospect = Prospect.TIMELY
+        each.timeliness = Timeliness.TIMELY
     for each in decision.late:
-        each.prospect = Prospect.LATE
+        each.timeliness = Timeliness.LATE
     again = admission.decide([*decision.kept, *decision.late], 0.1, due + 0.3)
     assert again == ([], [], [], [])
 
@@ -199,14 +208,16 @@
 def test_a_job_is_late_when_it_can_still_be_of_use_and_refused_when_not() -> None:
     ahead = job(1, tasks=10, estimate_ms=500)
     ahead.began = True
-    ahead_s = OVERTAKING * ahead.work_cpu_s / 40.0
+    ahead_s = WAIT_FACTOR * ahead.work_cpu_s / 40.0
     candidate = job(2)
     now = DECIDE_SHARE * candidate.objective_s
     spare_s = candidate.last_useful_start - now - ahead_s
     assert candidate.latest_start < now + ahead_s < candidate.last_useful_start
-    assert Admission().decide([ahead, candidate], 40.0, now).late == [candidate]
-    assert Admission().decide([ahead, candidate], 40.0, now + spare_s - 0.01).late == [candidate]
-    (refusal,) = Admission().decide([ahead, candidate], 40.0, now + spare_s + 0.01).refused
+    assert AdmissionPolicy().decide([ahead, candidate], 40.0, now).late == [candidate]
+    assert AdmissionPolicy().decide([ahead, candidate], 40.0, now + spare_s - 0.01).late == [
+        candidate
+    ]
+    (refusal,) = AdmissionPolicy().decide([ahead, candidate], 40.0, now + spare_s + 0.01).refused
     assert refusal.job is candidate
     assert [retry_after_s(Load(work, 40.0)) for work in (1.0, 12.0, 900.0)] == [1, 2, 5]
 
@@ -216,7 +227,7 @@
     ahead.began = True
     now = candidate.arrived + DECIDE_SHARE * candidate.objective_s + 0.001
     for cores, expected in ((0.0, "late"), (28.0, "late"), (34.0, "refused"), (60.0, "refused")):
-        admission = Admission()
+        admission = AdmissionPolicy()
         for tenth in range(20):
             coming = job(3, tasks=1, estimate_ms=int(cores / 1.6 * 100), arrived=tenth / 10)
             admission.arrived(coming, now - 1.95 + tenth / 10)
@@ -228,23 +239,23 @@
     arrivals = Arrivals()
     for _ in range(100):
         arrivals.add(10.0, 5.0)
-    assert arrivals.rate(5.0 + LEAST_SEEN_S - 0.01) is None
-    assert arrivals.rate(5.0 + LEAST_SEEN_S) == 0.0
+    assert arrivals.rate(5.0 + MIN_OBSERVATION_S - 0.01) is None
+    assert arrivals.rate(5.0 + MIN_OBSERVATION_S) == 0.0
 
 
 def test_what_is_kept_is_given_up_once_its_answer_can_be_of_no_use() -> None:
     kept = job(1)
-    kept.prospect = Prospect.TIMELY
-    assert Admission().decide([kept], 4.0, kept.last_useful_start - 0.01) == ([], [], [], [])
-    assert Admission().decide([kept], 4.0, kept.last_useful_start + 0.01).given_up == [kept]
+    kept.timeliness = Timeliness.TIMELY
+    assert AdmissionPolicy().decide([kept], 4.0, kept.last_useful_start - 0.01) == ([], [], [], [])
+    assert AdmissionPolicy().decide([kept], 4.0, kept.last_useful_start + 0.01).given_up == [kept]
     kept.began = True
-    assert Admission().decide([kept], 4.0, kept.last_useful_start + 0.01).given_up == []
+    assert AdmissionPolicy().decide([kept], 4.0, kept.last_useful_start + 0.01).given_up == []
 
 
 def test_after_a_job_was_kept_in_vain_none_is_kept_to_be_late_for_a_while() -> None:
-    admission = Admission()
+    admission = AdmissionPolicy()
     mistaken = job(1)
-    mistaken.prospect = Prospect.LATE
+    mistaken.timeliness = Timeliness.LATE
     at = mistaken.last_useful_start + 0.01
     assert admission.decide([mistaken], 40.0, at).given_up == [mistaken]
     ahead = job(2, tasks=10, estimate_ms=500, arrived=at)
@@ -259,9 +270,9 @@
 
 
 def test_late_work_that_delays_timely_jobs_stops_more_of_it() -> None:
-    admission = Admission()
+    admission = AdmissionPolicy()
     late, timely = job(1), job(2)
-    late.prospect = Prospect.LATE
+    late.timeliness = Timeliness.LATE
     now = timely.latest_start + 0.01
     admission.begins(timely, now)
     ahead = job(3, tasks=10, estimate_ms=500)
@@ -285,7 +296,7 @@
 def test_late_jobs_go_last_also_with_the_tasks_that_they_have_left() -> None:
     begun, late, begun_late = job(1, estimate_ms=2000), job(2, estimate_ms=100), job(3)
     begun.began = begun_late.began = True
-    late.prospect = begun_late.prospect = Prospect.LATE
+    late.timeliness = begun_late.timeliness = Timeliness.LATE
     timely = job(4, estimate_ms=2000)
     jobs = [begun_late, late, timely, begun]
     assert sorted(jobs, key=urgency) == [begun, timely, begun_late, late]
@@ -300,7 +311,7 @@
 
 def test_a_round_of_placing_looks_at_the_same_number_of_agents_however_many_there_are() -> None:
     view = fleet(1.0, {f"a{number}": 4000 for number in range(3000)})
-    assert len(view.willing("s", 1.0)) == LOOKED_AT
+    assert len(view.eligible("s", 1.0)) == LOOKED_AT
     assert view.capacity_cpu("s", 1.0) == pytest.approx(3000 * 16.0)
     view.forget("a7.1")
     assert "a7.1" not in view.agents
@@ -310,34 +321,34 @@
 def test_announced_agents_count_as_capacity_until_they_are_heard_of_or_long_overdue() -> None:
     view = FleetView(0.55, Random(1))
     for node in ("w1", "w2"):
-        view.expect(node, "s", "fd1", 16000, 10.0)
-    view.expect("w3", "other", "fd1", 16000, 10.0)
+        view.expect_agent(node, "s", "fd1", 16000, 10.0)
+    view.expect_agent("w3", "other", "fd1", 16000, 10.0)
     assert view.capacity_cpu("s", 10.1) == 32.0
-    agent = view.of("w1.5")
+    agent = view.get_or_add("w1.5")
     agent.state = EndpointState("x", "s", "fd", 16000, 1000, 0, [], True)
-    agent.take_load(AgentLoad(1, 0, 100, 10, 0, 100, 1, 1, 9000), 10.2)
+    agent.apply_report(AgentLoad(1, 0, 100, 10, 0, 100, 1, 1, 9000), 10.2)
     assert view.capacity_cpu("s", 10.3) == 32.0
     assert view.capacity_cpu("other", 10.3) == 16.0
-    agent.take_load(AgentLoad(2, 0, 100, 10, 0, 100, 1, 1, 9000), 12.0)
+    agent.apply_report(AgentLoad(2, 0, 100, 10, 0, 100, 1, 1, 9000), 12.0)
     assert view.capacity_cpu("s", 12.1) == 16.0
 
 
 def test_a_leaving_agent_is_asked_only_for_what_can_end() -> None:
     view = FleetView(0.55, Random(1))
-    agent = view.of("w1.5")
+    agent = view.get_or_add("w1.5")
     agent.state = EndpointState("x", "s", "fd", 16000, 1000, 0, [], True)
-    agent.take_load(AgentLoad(1, 0, 16000, 1000, 0, 100, 1, 1, 400), 10.0)
-    wish = Wish("s", Room(1600, 64), estimate_ms=400)
-    assert view.choose(wish, view.willing("s", 10.0)) is agent
-    assert view.choose(wish._replace(estimate_ms=401), view.willing("s", 10.0)) is None
+    agent.apply_report(AgentLoad(1, 0, 16000, 1000, 0, 100, 1, 1, 400), 10.0)
+    request = PlacementRequest("s", Resources(1600, 64), estimate_ms=400)
+    assert view.choose(request, view.eligible("s", 10.0)) is agent
+    assert view.choose(request._replace(estimate_ms=401), view.eligible("s", 10.0)) is None
 
 
 def test_jobs_that_fit_endpoints_about_to_connect_are_kept() -> None:
     due = DECIDE_SHARE * job().objective_s + 0.01
     jobs = [job(number) for number in range(40)]
-    alone = Admission().decide(jobs, 4.0, due)
-    coming = Admission().decide(jobs, 4.0, due, coming_cpu=20.5 * jobs[0].cpu)
+    alone = AdmissionPolicy().decide(jobs, 4.0, due)
+    coming = AdmissionPolicy().decide(jobs, 4.0, due, coming_cpu=20.5 * jobs[0].cpu)
     assert len(alone.kept) < 10
     assert coming.kept[:20] == jobs[:20]
-    all_coming = Admission().decide(jobs, 4.0, due, coming_cpu=40.5 * jobs[0].cpu)
+    all_coming = AdmissionPolicy().decide(jobs, 4.0, due, coming_cpu=40.5 * jobs[0].cpu)
     assert (all_coming.late, all_coming.refused) == ([], [])
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -1,4 +1,4 @@
-"""Leased jobs under failure, on virtual time: what must hold whatever is lost."""
+"""Invariants of leased jobs under faults, on virtual time."""
 
 from functools import partial
 from random import Random
@@ -6,10 +6,10 @@
 import pytest
 
 from bench.leased_world import ENDPOINT_ROOM, QUEUE, Asked, World
-from gentianmux.leased.job_state import Outcome
-from gentianmux.leased.model import EndedRow, EndpointReport, HoldReply, How
-from gentianmux.leased.payloads import pack
-from gentianmux.leased.room import Room
+from gentianmux.leased.job_state import JobOutcome
+from gentianmux.leased.model import EndpointReport, EndRecord, HoldReply, RunOutcome
+from gentianmux.leased.payloads import encode_payload
+from gentianmux.leased.resources import Resources
 from gentianmux.messages import Assign, EndedRuns, LeasedTask, Message, RunRef, Withdraw
 
 
@@ -19,76 +19,76 @@
     return world
 
 
-def outcome(asked: object) -> Outcome | None:
-    verdict = asked.ticket.verdict  # type: ignore[attr-defined]
-    return None if verdict is None else verdict.outcome
+def outcome(asked: object) -> JobOutcome | None:
+    result = asked.handle.result  # type: ignore[attr-defined]
+    return None if result is None else result.outcome
 
 
 def holder_of(world: World, task: str) -> str:
-    """The machine whose endpoint runs a task."""
+    """Return the machine whose endpoint runs a task."""
     for machine in world.machines.values():
         if any(name == task for name, _ in machine.endpoint.active):
             return machine.name
     raise AssertionError(f"{task} runs nowhere")
 
 
-def assert_kept(world: World) -> None:
+def assert_invariants_hold(world: World) -> None:
     assert world.breaches == []
     assert world.false_refusals() == []
 
 
-def test_a_job_is_complete_when_its_tasks_are_done() -> None:
+def test_job_is_complete_when_its_tasks_are_done() -> None:
     world = ready_world()
     job = world.submit("e0", tasks=8, run_s=0.12)
     world.run(0.2)
-    assert outcome(job) is Outcome.COMPLETED
+    assert outcome(job) is JobOutcome.COMPLETED
     assert world.starts == 8
     assert job.ended_at - job.at < 0.15
 
 
-def test_a_task_that_fails_is_run_again_elsewhere_until_its_attempts_are_used_up() -> None:
+def test_failed_task_is_retried_until_attempts_are_used_up() -> None:
     world = ready_world()
     good = world.submit("e0", failures=2)
     bad = world.submit("e0", failures=3)
     world.run(1.0)
-    assert outcome(good) is Outcome.COMPLETED
-    assert outcome(bad) is Outcome.FAILED
-    assert_kept(world)
+    assert outcome(good) is JobOutcome.COMPLETED
+    assert outcome(bad) is JobOutcome.FAILED
+    assert_invariants_hold(world)
 
 
-def test_no_endpoint_gets_more_than_it_has_room_for() -> None:
+def test_no_endpoint_is_overcommitted() -> None:
     world = ready_world(agents=2, entries=3)
     for number in range(60):
         world.submit(f"e{number % 3}", tasks=3, run_s=0.3)
     world.run(6.0)
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
-def test_a_job_that_cannot_be_in_time_is_refused_early_with_a_time_to_come_back() -> None:
+def test_job_that_cannot_be_in_time_is_refused_early_with_retry_after() -> None:
     world = ready_world(agents=1)
     jobs = [world.submit("e0", tasks=10, run_s=0.5) for _ in range(10)]
     world.run(0.3)
-    refused = [job for job in jobs if outcome(job) is Outcome.NOT_RUN]
+    refused = [job for job in jobs if outcome(job) is JobOutcome.NOT_RUN]
     assert len(refused) >= 7
-    assert all(job.ticket.verdict.retry_after_s > 0 for job in refused if job.ticket.verdict)
-    quarter_s = jobs[0].ticket.job.objective_s / 4
+    assert all(job.handle.result.retry_after_s > 0 for job in refused if job.handle.result)
+    quarter_s = jobs[0].handle.job.objective_s / 4
     assert max(job.ended_at - job.at for job in refused) < quarter_s
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 @pytest.mark.parametrize("late", [False, True])
-def test_a_start_without_an_answer_is_never_run_twice(late: bool) -> None:
+def test_unanswered_start_never_runs_twice(late: bool) -> None:
     world = ready_world()
     for machine in world.machines.values():
-        machine.endpoint.late_orders = 2 if late else 0
-        machine.endpoint.lose_answers = 0 if late else 2
+        machine.endpoint.delayed_starts = 2 if late else 0
+        machine.endpoint.unanswered_calls = 0 if late else 2
     jobs = [world.submit("e0", tasks=4, run_s=0.4) for _ in range(4)]
     world.run(6.0)
-    assert [outcome(job) for job in jobs] == [Outcome.COMPLETED] * 4
-    assert_kept(world)
+    assert [outcome(job) for job in jobs] == [JobOutcome.COMPLETED] * 4
+    assert_invariants_hold(world)
 
 
-def test_a_killed_agent_loses_no_job_and_runs_none_twice() -> None:
+def test_killed_agent_loses_no_job_and_runs_none_twice() -> None:
     world = ready_world()
     job = world.submit("e0", tasks=6, run_s=1.0)
     world.run(0.3)
@@ -97,11 +97,11 @@
     world.run(0.4)
     world.start_agent(name)
     world.run(4.0)
-    assert outcome(job) is Outcome.COMPLETED
-    assert_kept(world)
+    assert outcome(job) is JobOutcome.COMPLETED
+    assert_invariants_hold(world)
 
 
-def test_a_dark_machine_is_given_up_only_when_its_leases_are_over() -> None:
+def test_unreachable_agent_is_given_up_only_when_its_leases_have_expired() -> None:
     world = ready_world()
     job = world.submit("e0", tasks=3, run_s=1.0)
     world.run(0.2)
@@ -109,12 +109,12 @@
     for entry in ("e0",):
         world.cut_apart(name, entry, 10.0)
     world.run(4.5)
-    assert outcome(job) is Outcome.COMPLETED
-    assert_kept(world)
+    assert outcome(job) is JobOutcome.COMPLETED
+    assert_invariants_hold(world)
 
 
 @pytest.mark.parametrize("seconds", [0.3, 0.6, 1.0, 2.5])
-def test_a_frozen_agent_does_nothing_with_what_it_held(seconds: float) -> None:
+def test_frozen_agent_starts_no_stale_runs_when_it_resumes(seconds: float) -> None:
     world = ready_world()
     jobs = [world.submit("e0", tasks=4, run_s=0.7) for _ in range(3)]
     world.run(0.1)
@@ -123,10 +123,10 @@
     later = [world.submit("e0", tasks=4, run_s=0.7) for _ in range(3)]
     world.run(6.0)
     assert all(outcome(job) is not None for job in jobs + later)
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
-def test_a_killed_entry_leaves_nothing_running_when_its_callers_send_again() -> None:
+def test_runs_of_killed_entry_are_stopped_when_callers_resubmit() -> None:
     world = ready_world(entries=2)
     job = world.submit("e0", tasks=6, run_s=2.5)
     world.run(0.5)
@@ -134,11 +134,11 @@
     world.run(1.3)
     again = world.submit("e1", tasks=6, run_s=2.5, job_id=job.spec.job_id)
     world.run(4.5)
-    assert outcome(again) is Outcome.COMPLETED
-    assert_kept(world)
+    assert outcome(again) is JobOutcome.COMPLETED
+    assert_invariants_hold(world)
 
 
-def test_a_frozen_entry_wakes_to_a_job_that_runs_elsewhere_and_does_not_run_it_again() -> None:
+def test_entry_that_resumes_does_not_rerun_job_that_runs_elsewhere() -> None:
     world = ready_world(entries=2)
     job = world.submit("e0", tasks=6, run_s=1.0, time_limit_s=2.0)
     world.run(0.3)
@@ -146,22 +146,22 @@
     world.run(3.6)
     world.submit("e1", tasks=6, run_s=1.0, job_id=job.spec.job_id)
     world.run(4.0)
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
-def test_an_entry_cut_from_an_agent_and_back_keeps_what_runs_there() -> None:
+def test_entry_keeps_runs_across_reconnect() -> None:
     world = ready_world()
     job = world.submit("e0", tasks=3, run_s=1.0)
     world.run(0.2)
     for name in world.machines:
         world.reset(name, "e0")
     world.run(1.5)
-    assert outcome(job) is Outcome.COMPLETED
+    assert outcome(job) is JobOutcome.COMPLETED
     assert world.starts == 3
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
-def test_an_endpoint_that_fails_everything_gets_little_work() -> None:
+def test_failing_endpoint_gets_few_runs() -> None:
     world = ready_world(agents=4)
     world.machines["w0"].endpoint.failing = True
     jobs = []
@@ -169,13 +169,13 @@
         jobs.append(world.submit("e0", tasks=2, run_s=0.1))
         world.run(0.03)
     world.run(2.0)
-    completed = sum(outcome(job) is Outcome.COMPLETED for job in jobs)
+    completed = sum(outcome(job) is JobOutcome.COMPLETED for job in jobs)
     assert completed >= 97
     assert world.wasted_runs < 25
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
-def test_runs_that_stand_still_are_moved_and_their_endpoint_is_left_out() -> None:
+def test_stalled_runs_are_moved_and_their_endpoint_is_ejected() -> None:
     world = ready_world(agents=4)
     world.machines["w0"].endpoint.speed = 0.0
     jobs = []
@@ -183,14 +183,14 @@
         jobs.append(world.submit("e0", tasks=2, run_s=0.3))
         world.run(0.05)
     world.run(3.0)
-    assert all(outcome(job) is Outcome.COMPLETED for job in jobs)
+    assert all(outcome(job) is JobOutcome.COMPLETED for job in jobs)
     assert world.wasted_runs <= 5
     assert world.machines["w0"].agent is not None
     assert world.machines["w0"].agent.health.ejections >= 1
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
-def test_a_draining_endpoint_gets_nothing_new() -> None:
+def test_draining_endpoint_gets_no_new_runs() -> None:
     world = ready_world(agents=2)
     machine = world.machines["w0"]
     machine.sequence += 1
@@ -204,18 +204,18 @@
     assert before == len(machine.endpoint.active) == 0
 
 
-def test_another_endpoint_at_the_same_address_is_counted_by_its_own_size() -> None:
+def test_replaced_endpoint_is_not_overcommitted() -> None:
     world = ready_world(agents=1)
     world.submit("e0", tasks=9, run_s=2.0)
     world.run(0.2)
-    world.replace_endpoint("w0", Room(4000, 1024, 0))
+    world.replace_endpoint("w0", Resources(4000, 1024, 0))
     jobs = [world.submit("e0", tasks=4, run_s=0.2) for _ in range(3)]
     world.run(5.0)
     assert all(outcome(job) is not None for job in jobs)
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
-def test_a_restarted_agent_stops_what_it_finds_before_it_starts_anything() -> None:
+def test_restarted_agent_stops_unknown_runs_before_it_starts_any() -> None:
     world = ready_world(agents=1)
     world.submit("e0", tasks=10, run_s=3.0, time_limit_s=9.0)
     world.run(0.1)
@@ -224,15 +224,15 @@
     job = world.submit("e0", tasks=10, run_s=0.2, time_limit_s=9.0)
     world.run(8.0)
     assert outcome(job) is not None
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 @pytest.mark.parametrize("seed", [*range(30), 343])
-def test_random_walks_keep_every_promise(seed: int) -> None:
+def test_random_walks_keep_invariants(seed: int) -> None:
     world = ready_world(agents=5, entries=3, seed=seed)
     rng = Random(seed)
     for _ in range(60):
-        _disturb(world, rng)
+        _inject_fault(world, rng)
         for _ in range(rng.randrange(4)):
             entry = rng.choice(sorted(world.entries))
             world.submit(
@@ -243,16 +243,16 @@
             )
         world.run(rng.uniform(0.01, 0.3))
     world.run(9.0)
-    assert_kept(world)
+    assert_invariants_hold(world)
     assert all(outcome(job) is not None for job in world.asked if _entry_lives(world, job))
 
 
 def _entry_lives(world: World, job: object) -> bool:
-    tickets = [node.entry.jobs.values() for node in world.entries.values() if node.entry]
-    return any(job.ticket in each for each in tickets)  # type: ignore[attr-defined]
+    handles = [node.entry.jobs.values() for node in world.entries.values() if node.entry]
+    return any(job.handle in each for each in handles)  # type: ignore[attr-defined]
 
 
-def _disturb(world: World, rng: Random) -> None:
+def _inject_fault(world: World, rng: Random) -> None:
     machine = world.machines[rng.choice(sorted(world.machines))]
     entry = rng.choice(sorted(world.entries))
     endpoint = machine.endpoint
@@ -274,9 +274,9 @@
     elif what == 5:
         world.reset(machine.name, entry)
     elif what == 6:
-        endpoint.lose_answers = rng.randrange(4)
+        endpoint.unanswered_calls = rng.randrange(4)
     elif what == 7:
-        endpoint.late_orders = rng.randrange(3)
+        endpoint.delayed_starts = rng.randrange(3)
     elif what == 8:
         endpoint.failing = not endpoint.failing
     elif what == 9:
@@ -284,7 +284,7 @@
     elif what == 10:
         endpoint.speed = rng.choice([0.0, 0.2, 1.0, 1.0])
     elif what == 11:
-        sizes = [ENDPOINT_ROOM, Room(8000, 2048, 0)]
+        sizes = [ENDPOINT_ROOM, Resources(8000, 2048, 0)]
         late = world.report_of(machine)
         world.replace_endpoint(machine.name, rng.choice(sizes))
         world.at(rng.uniform(0.1, 4.0), "", _report_late, world, machine.name, late)
@@ -297,15 +297,15 @@
 
 
 def _report_late(world: World, name: str, report: EndpointReport) -> None:
-    """Let a heartbeat of an ended life arrive, unless nobody is there to take it."""
+    """Deliver a heartbeat of an ended incarnation, if the agent is running."""
     agent = world.machines[name].agent
     if agent is not None and world.process_of(name) in world.alive - world.frozen:
         agent.on_report(report)
 
 
 def _open_jobs(world: World, entry: str) -> list[Asked]:
-    tickets = list(world.entries[entry].entry.jobs.values())  # type: ignore[union-attr]
-    return [job for job in world.asked if job.ticket in tickets]
+    handles = list(world.entries[entry].entry.jobs.values())  # type: ignore[union-attr]
+    return [job for job in world.asked if job.handle in handles]
 
 
 def _break_callers(world: World, rng: Random, entry: str, machine: str) -> None:
@@ -316,24 +316,24 @@
         _send_again(world, rng, job)
         if rng.random() < 0.5:
             world.reset(machine, entry)
-        world.entries[entry].entry.abandon(job.ticket, "reset")  # type: ignore[union-attr]
+        world.entries[entry].entry.abandon(job.handle, "reset")  # type: ignore[union-attr]
 
 
 def _send_again(world: World, rng: Random, job: Asked) -> None:
-    """Hand a job in again at any entry, as callers do 1.3 s after a broken connection."""
+    """Submit a job again at any entry, as callers do 1.3 s after a broken connection."""
     (step,) = job.spec.steps
     entry = rng.choice(sorted(world.entries))
     again = partial(world.submit, entry, step.tasks, job.ideal_s, job_id=job.spec.job_id)
     world.at(1.3, "", again)
 
 
-def test_the_objective_is_the_stretched_work_and_the_allowance() -> None:
+def test_objective_is_stretched_work_plus_allowance() -> None:
     world = ready_world()
     job = world.submit("e0", tasks=2, run_s=0.5)
-    assert job.ticket.job.objective_s == pytest.approx(0.5 * QUEUE.stretch + 0.06)
+    assert job.handle.job.objective_s == pytest.approx(0.5 * QUEUE.stretch + 0.06)
 
 
-def test_lost_answers_to_looks_cost_no_run() -> None:
+def test_lost_poll_answers_cost_no_run() -> None:
     world = ready_world(agents=3)
     for machine in world.machines.values():
         machine.endpoint.lose_looks = 0.3
@@ -342,36 +342,36 @@
         jobs.append(world.submit("e0", tasks=3, run_s=0.4))
         world.run(0.1)
     world.run(2.0)
-    assert all(outcome(job) is Outcome.COMPLETED for job in jobs)
+    assert all(outcome(job) is JobOutcome.COMPLETED for job in jobs)
     assert world.wasted_runs == 0
     assert sorted(job.ended_at - job.at for job in jobs)[-4] < 0.8
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
-def test_an_endpoint_that_answers_nothing_is_given_up_when_its_leases_are_over() -> None:
+def test_silent_endpoint_is_given_up_when_its_leases_have_expired() -> None:
     world = ready_world()
     job = world.submit("e0", tasks=3, run_s=3.0)
     world.run(0.2)
     name = holder_of(world, f"{job.spec.job_id}.0.0.0")
     world.machines[name].endpoint.lose_looks = 1.0
     world.run(4.6)
-    assert outcome(job) is Outcome.COMPLETED
-    assert_kept(world)
+    assert outcome(job) is JobOutcome.COMPLETED
+    assert_invariants_hold(world)
 
 
-def test_a_leaving_entry_takes_only_what_can_end_in_time() -> None:
+def test_entry_in_shutdown_accepts_only_jobs_that_end_in_time() -> None:
     world = ready_world()
     entry = world.entries["e0"].entry
     assert entry is not None
     short = world.submit("e0", run_s=0.5).spec
     long = world.submit("e0", run_s=4.0).spec
-    assert entry.takes(long)
-    entry._leaves_at = world.time + 2.0
-    assert entry.takes(short)
-    assert not entry.takes(long)
+    assert entry.accepts(long)
+    entry._shutdown_at = world.time + 2.0
+    assert entry.accepts(short)
+    assert not entry.accepts(long)
 
 
-def test_agents_that_refuse_for_a_moment_are_not_taken_for_none() -> None:
+def test_job_is_kept_while_all_agents_refuse_for_a_moment() -> None:
     world = ready_world(agents=2)
     job = world.submit("e0", run_s=0.6, failures=1)
     world.run(0.55)
@@ -382,70 +382,70 @@
     for machine in world.machines.values():
         machine.endpoint.unhealthy = False
     world.run(3.0)
-    assert outcome(job) is Outcome.COMPLETED
+    assert outcome(job) is JobOutcome.COMPLETED
 
 
-def test_a_service_without_any_agent_is_refused_soon() -> None:
+def test_job_of_service_without_agents_is_refused_soon() -> None:
     world = ready_world(agents=1)
     world.kill(world.process_of("w0"))
     world.run(1.0)
     job = world.submit("e0")
     world.run(0.6)
-    assert outcome(job) is Outcome.NOT_RUN
+    assert outcome(job) is JobOutcome.NOT_RUN
 
 
-def test_a_start_without_an_answer_is_settled_within_a_few_round_trips() -> None:
+def test_unanswered_start_is_resolved_within_a_few_round_trips() -> None:
     world = ready_world(agents=2)
     for machine in world.machines.values():
-        machine.endpoint.late_orders = 1
+        machine.endpoint.delayed_starts = 1
     job = world.submit("e0", tasks=4, run_s=0.2)
     world.run(0.3)
-    assert outcome(job) is Outcome.COMPLETED
-    assert_kept(world)
+    assert outcome(job) is JobOutcome.COMPLETED
+    assert_invariants_hold(world)
 
 
-def test_nothing_is_placed_past_its_deadline() -> None:
+def test_no_task_is_placed_past_its_deadline() -> None:
     world = ready_world(agents=1)
     for _ in range(5):
         world.submit("e0", tasks=2, run_s=2.0, time_limit_s=9.0)
     late = world.submit("e0", tasks=1, run_s=0.5, time_limit_s=0.2)
     entry = world.entries["e0"].entry
     assert entry is not None
-    # The entry was frozen, and reads a load report before it looks at deadlines.
+    # The entry was frozen, and handles a load report before it checks deadlines.
     world.time += 1.0
     world.machines["w0"].endpoint.active.clear()
     for view in world.entries["e0"].view.agents.values():  # type: ignore[union-attr]
         view._pending.clear()
-        view.offer(ENDPOINT_ROOM)
-        view.heard_at = world.time
-    entry._placing.place()
-    assert not late.ticket.job.began
+        view.set_offered(ENDPOINT_ROOM)
+        view.last_heard_at = world.time
+    entry._placer.place()
+    assert not late.handle.job.began
 
 
-def test_a_look_at_an_earlier_life_says_nothing_of_the_present_one() -> None:
+def test_poll_answer_of_earlier_incarnation_is_dropped() -> None:
     world = ready_world(agents=1)
     machine = world.machines["w0"]
     agent = machine.agent
     assert agent is not None
-    ends = (EndedRow(50, "t", 1, How.DONE),)
+    ends = (EndRecord(50, "t", 1, RunOutcome.DONE),)
 
     def hold(*_: object) -> HoldReply:
-        # The endpoint is replaced while an answer of its earlier life is on its way.
+        # The endpoint is replaced while an answer of its earlier incarnation is in flight.
         world.replace_endpoint("w0")
         machine.sequence += 1
         agent.on_report(world.report_of(machine))
         return HoldReply(world.time, (), ends)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(agent._board.driver, "hold", hold)
-        agent.look()
+        patch.setattr(agent._ctx.driver, "hold", hold)
+        agent.poll()
     assert agent.table.acknowledged == 0
     job = world.submit("e0", tasks=4, run_s=0.2)
     world.run(1.0)
-    assert outcome(job) is Outcome.COMPLETED
+    assert outcome(job) is JobOutcome.COMPLETED
 
 
-def test_a_run_withdrawn_while_it_waits_for_an_earlier_one_never_begins() -> None:
+def test_run_withdrawn_while_it_waits_for_earlier_one_never_begins() -> None:
     world = ready_world(agents=1, entries=2)
     first = world.submit("e0", run_s=3.0)
     world.run(0.2)
@@ -453,15 +453,15 @@
     agent = world.machines["w0"].agent
     assert agent is not None
     task = LeasedTask(f"{first.spec.job_id}.0.0.0", 5, 0, 1600, 64, 0, 3000)
-    echo = world.entries["e1"].view.of(world.process_of("w0")).newest_load  # type: ignore[union-attr]
-    agent.on_message(Assign(echo, 1, [task], [], [pack("x")]), world.process_of("e1"))
+    echo = world.entries["e1"].view.get_or_add(world.process_of("w0")).newest_load  # type: ignore[union-attr]
+    agent.on_message(Assign(echo, 1, [task], [], [encode_payload("x")]), world.process_of("e1"))
     agent.on_message(Withdraw([RunRef(task.name, 5)]), world.process_of("e1"))
     world.run(1.0)
     assert world.machines["w0"].endpoint.active == {}
     assert world.starts == 1
 
 
-def test_a_withdrawal_that_is_lost_with_its_connection_is_made_up_for() -> None:
+def test_withdrawal_lost_with_its_connection_is_recovered() -> None:
     world = ready_world(entries=2)
     job = world.submit("e0", tasks=3, run_s=4.0, time_limit_s=9.0)
     world.run(0.3)
@@ -469,16 +469,16 @@
         world.reset(name, "e0")
     entry = world.entries["e0"].entry
     assert entry is not None
-    entry.abandon(job.ticket, "the caller's connection was reset as well")
+    entry.abandon(job.handle, "the caller's connection was reset as well")
     world.run(1.3)
     again = world.submit("e1", tasks=3, run_s=4.0, job_id=job.spec.job_id, time_limit_s=9.0)
     world.run(5.0)
-    assert outcome(again) is Outcome.COMPLETED
-    assert_kept(world)
+    assert outcome(again) is JobOutcome.COMPLETED
+    assert_invariants_hold(world)
 
 
 @pytest.mark.parametrize("restarted", [False, True])
-def test_a_late_heartbeat_of_an_ended_life_loses_no_run(restarted: bool) -> None:
+def test_late_heartbeat_of_ended_incarnation_loses_no_run(restarted: bool) -> None:
     world = ready_world()
     machine = world.machines["w0"]
     late = world.report_of(machine)
@@ -493,24 +493,24 @@
     assert machine.agent is not None
     machine.agent.on_report(late)
     world.run(3.0)
-    assert [outcome(job) for job in jobs] == [Outcome.COMPLETED] * 3
+    assert [outcome(job) for job in jobs] == [JobOutcome.COMPLETED] * 3
     assert world.starts == 27
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
-def test_connections_that_go_silent_for_good_cost_no_run() -> None:
+def test_silent_connections_cost_no_run() -> None:
     world = ready_world(agents=4, entries=2)
     for at in range(5):
         world.at(0.37 * at + 0.2, "", world.silence_connections)
     jobs = [world.submit(f"e{number % 2}", tasks=4, run_s=1.2) for number in range(6)]
     world.run(4.0)
-    assert [outcome(job) for job in jobs] == [Outcome.COMPLETED] * 6
+    assert [outcome(job) for job in jobs] == [JobOutcome.COMPLETED] * 6
     assert max(job.ended_at - job.at for job in jobs) < 1.4
     assert world.wasted_runs == 0
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
-def test_an_entry_that_is_gone_no_longer_counts_when_the_pool_is_shared() -> None:
+def test_ended_entry_gets_no_share_of_the_pool() -> None:
     world = ready_world(agents=2, entries=3)
     view = world.entries["e0"].view
     assert view is not None
@@ -521,8 +521,8 @@
 
 
 @pytest.mark.parametrize("seed", [1, 3])
-def test_agents_stopped_in_turn_stay_in_use_and_lose_no_run(seed: int) -> None:
-    """Measured when a leaving agent began nothing: 0.76 and 0.74 in time; now 0.91 and 0.89."""
+def test_agents_in_shutdown_stay_in_use_and_lose_no_run(seed: int) -> None:
+    """Guards against idle endpoints beside agents that are shutting down."""
     world = ready_world(agents=5, entries=3, seed=seed)
     for number in range(5):
         world.at(2.0 + number, "", world.stop_agent, f"w{number}")
@@ -532,14 +532,14 @@
         world.submit(f"e{rng.randrange(3)}", tasks=4, run_s=run_s, time_limit_s=9.0)
         world.run(rng.expovariate(25.0))
     world.run(9.0)
-    done = [job for job in world.asked if outcome(job) is Outcome.COMPLETED]
-    in_time = [job for job in done if job.ended_at - job.at <= job.ticket.job.objective_s]
+    done = [job for job in world.asked if outcome(job) is JobOutcome.COMPLETED]
+    in_time = [job for job in done if job.ended_at - job.at <= job.handle.job.objective_s]
     assert len(in_time) > 0.85 * len(world.asked)
     assert world.wasted_runs == 0
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
-def test_an_agent_frozen_before_it_starts_what_it_took_on_starts_nothing_when_it_wakes() -> None:
+def test_agent_frozen_before_start_of_accepted_run_does_not_start_it() -> None:
     world = ready_world()
     job = world.submit("e0", tasks=2, run_s=1.0)
     task = f"{job.spec.job_id}.0.0.0"
@@ -551,12 +551,12 @@
     assert task not in world.started
     world.freeze(world.process_of(takers[0]), 1.6)
     world.run(4.0)
-    assert outcome(job) is Outcome.COMPLETED
-    assert_kept(world)
+    assert outcome(job) is JobOutcome.COMPLETED
+    assert_invariants_hold(world)
     assert world.starts == 2
 
 
-def test_jobs_wait_for_agents_that_are_coming_back_with_free_endpoints() -> None:
+def test_jobs_wait_for_returning_agents() -> None:
     world = ready_world(agents=6, entries=2)
     for name in (*world.machines, *world.entries):
         world.kill(world.process_of(name))
@@ -571,59 +571,59 @@
         world.start_agent(name)
     world.run(3.0)
     # The last of them are late, since heartbeats come every half second here.
-    assert [outcome(job) for job in jobs] == [Outcome.COMPLETED] * 12
-    assert_kept(world)
+    assert [outcome(job) for job in jobs] == [JobOutcome.COMPLETED] * 12
+    assert_invariants_hold(world)
 
 
-def test_a_configuration_reaches_an_entry_that_the_store_turns_away() -> None:
+def test_configuration_reaches_entry_without_access_to_store() -> None:
     world = ready_world(agents=3, entries=3)
-    feeds = [node.entry._board.feed for node in world.entries.values() if node.entry]
+    feeds = [node.entry._ctx.feed for node in world.entries.values() if node.entry]
     assert [feed.version for feed in feeds] == [1, 1, 1]
     world.config = world.config._replace(version=7, raw=b"7")
-    feeds[1].offered(b"7", "store")
+    feeds[1].apply_if_newer(b"7", "store")
     world.run(0.5)
     assert [feed.version for feed in feeds] == [7, 7, 7]
     world.kill(world.process_of("e2"))
     world.config = world.config._replace(version=9, raw=b"9")
-    feeds[0].offered(b"9", "store")
+    feeds[0].apply_if_newer(b"9", "store")
     world.run(0.4)
     world.start_entry("e2")
     restarted = world.entries["e2"].entry
     assert restarted is not None
-    restarted._board.feed.current = None
+    restarted._ctx.feed.current = None
     world.run(0.5)
-    assert restarted._board.feed.version == 9
+    assert restarted._ctx.feed.version == 9
 
 
-def test_a_leaving_entry_takes_jobs_until_none_has_come_for_a_while_and_then_none() -> None:
-    """A job taken between the last answer and the end of the process was cut off."""
+def test_entry_in_shutdown_accepts_jobs_until_none_arrives_for_a_while() -> None:
+    """Guards against cutting off a job accepted between the last answer and the process's end."""
     world = ready_world()
     entry = world.entries["e0"].entry
     assert entry is not None
-    entry.begin_leaving(world.time + 5.0)
+    entry.begin_shutdown(world.time + 5.0)
     first = world.submit("e0", tasks=1, run_s=0.05)
     world.run(0.1)
-    assert outcome(first) is Outcome.COMPLETED
-    assert not entry.has_left()
+    assert outcome(first) is JobOutcome.COMPLETED
+    assert not entry.is_drained()
     world.run(0.05)
     last = world.submit("e0", tasks=1, run_s=0.05)
-    assert entry.takes(last.spec)
-    assert not entry.has_left()
+    assert entry.accepts(last.spec)
+    assert not entry.is_drained()
     world.run(0.1)
-    assert outcome(last) is Outcome.COMPLETED
-    assert not entry.has_left()
+    assert outcome(last) is JobOutcome.COMPLETED
+    assert not entry.is_drained()
     world.run(0.11)
-    assert entry.has_left()
-    assert not entry.takes(last.spec)
+    assert entry.is_drained()
+    assert not entry.accepts(last.spec)
 
 
 @pytest.mark.parametrize("mbits, agents", [(2, 12), (25, 24)])
-def test_a_large_configuration_stops_no_run_on_a_slow_link(mbits: int, agents: int) -> None:
-    """Pushed whole, again with each report, it held up the echoes that keep runs going."""
+def test_large_configuration_stops_no_run_on_slow_link(mbits: int, agents: int) -> None:
+    """Guards against a configuration that delays the echoes which renew entry leases."""
     world = ready_world(agents=agents, entries=3)
     for name in world.entries:
         world.bytes_per_s[world.process_of(name)] = mbits * 1e6 / 8
-    # 1,400 queues of some 300 bytes, of which names are random.
+    # 1,400 queues of some 300 bytes each, with random names.
     rng = Random(3)
     raw = b"".join(
         b'{"host":"%016x","rest":"%s"}' % (rng.getrandbits(64), b"r" * 270) for _ in range(1400)
@@ -631,60 +631,59 @@
     world.config = world.config._replace(version=7, raw=raw)
     for node in world.entries.values():
         assert node.entry is not None
-        node.entry._board.feed.offered(raw, "store")
+        node.entry._ctx.feed.apply_if_newer(raw, "store")
     jobs = []
     for _ in range(30):
         jobs += [world.submit(name, tasks=4, run_s=0.3) for name in world.entries]
         world.run(0.1)
     world.run(1.0)
-    assert [outcome(job) for job in jobs] == [Outcome.COMPLETED] * len(jobs)
+    assert [outcome(job) for job in jobs] == [JobOutcome.COMPLETED] * len(jobs)
     assert world.starts == 4 * len(jobs)
-    assert {m.agent._board.feed.version for m in world.machines.values() if m.agent} == {7}
-    assert_kept(world)
+    assert {m.agent._ctx.feed.version for m in world.machines.values() if m.agent} == {7}
+    assert_invariants_hold(world)
 
 
-def test_a_peer_that_has_a_configuration_is_never_sent_it() -> None:
+def test_configuration_is_sent_to_each_peer_once() -> None:
     world = ready_world(agents=4, entries=2)
     for name in world.entries:
         world.bytes_per_s[world.process_of(name)] = 1e9
     raw = Random(4).randbytes(100_000)
     world.config = world.config._replace(version=7, raw=raw)
-    feeds = [node.entry._board.feed for node in world.entries.values() if node.entry]
+    feeds = [node.entry._ctx.feed for node in world.entries.values() if node.entry]
     for feed in feeds:
-        feed.offered(raw, "store")
+        feed.apply_if_newer(raw, "store")
     world.run(4.0)
     once = sum(world.bytes_sent.values())
-    # Incompressible: the four agents take it in once each, 400 KB, beside echoes.
+    # It does not compress, and each of four agents gets it once: 400 KB, and echoes.
     assert 400_000 < once < 450_000
     world.reset("e0", "w0")
     world.run(2.0)
     assert sum(world.bytes_sent.values()) - once < 30_000
 
 
-def test_an_idle_pair_of_processes_exchanges_few_frames_and_can_be_used_at_any_moment() -> None:
-    """Reports and echoes were 200 frames a second between an agent and its entries, used or not."""
+def test_idle_processes_exchange_few_frames_and_can_be_used_at_any_time() -> None:
+    """Guards against frequent load reports and echoes between processes without runs."""
     world = ready_world(agents=4, entries=5)
     before = world.frames
     world.run(5.0)
     a_pair = (world.frames - before) / 5.0 / 20
-    # 20.0 frames a second before, 8.0 now.
     assert a_pair < 9.0
     refused_before = _refused(world)
     for number in range(60):
         world.submit(f"e{number % 5}", tasks=1, run_s=0.1)
         world.run(0.35)
-    assert all(outcome(job) is Outcome.COMPLETED for job in world.asked)
+    assert all(outcome(job) is JobOutcome.COMPLETED for job in world.asked)
     assert world.starts == len(world.asked)
     assert _refused(world) == refused_before
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def _refused(world: World) -> int:
     agents = [machine.agent for machine in world.machines.values() if machine.agent]
-    return sum(agent._board.metrics.total("runs_refused") for agent in agents)
+    return sum(agent._ctx.metrics.total("runs_refused") for agent in agents)
 
 
-def test_ended_runs_pass_a_connection_once_and_are_acknowledged_with_an_echo() -> None:
+def test_ended_runs_are_sent_once_per_connection_and_acknowledged_with_echo() -> None:
     world = ready_world(agents=1)
     agent, links = world.machines["w0"].agent, world.machines["w0"].links
     assert agent is not None and links is not None
@@ -702,25 +701,25 @@
         world.run(0.04)
     world.run(0.3)
     assert sorted(rows) == list(range(1, 17))
-    assert not agent._board.reports.has_unseen
+    assert not agent._ctx.reporter.has_unacknowledged
 
 
-def test_ended_runs_that_were_lost_with_a_connection_are_sent_by_the_next() -> None:
+def test_ended_runs_lost_with_connection_are_resent() -> None:
     world = ready_world(agents=1)
     job = world.submit("e0", tasks=2, run_s=0.2)
     world.run(0.19)
     world.silence_connections()
     world.run(1.0)
-    assert outcome(job) is Outcome.COMPLETED
+    assert outcome(job) is JobOutcome.COMPLETED
     assert job.ended_at - job.at < 1.0
     assert world.wasted_runs == 0
 
 
 @pytest.mark.parametrize("seed", [1, 8, 11])
-def test_an_assignment_that_echoes_an_old_report_does_not_keep_the_next_from_its_echo(
+def test_assignment_that_echoes_old_report_does_not_suppress_next_echo(
     seed: int,
 ) -> None:
-    """Taken for an echo of a new one, it let the lease chain of an idle pair run out."""
+    """Guards against counting it as an echo of the newest report: the entry lease would expire."""
     world = ready_world(agents=3, seed=seed)
     for machine in world.machines.values():
         machine.endpoint.lose_looks = 0.3
@@ -729,4 +728,4 @@
         world.run(0.1)
     world.run(2.0)
     assert world.wasted_runs == 0
-    assert all(outcome(job) is Outcome.COMPLETED for job in world.asked)
+    assert all(outcome(job) is JobOutcome.COMPLETED for job in world.asked)
--- a/tests/test_together.py
+++ b/tests/test_task_colocation.py
@@ -12,8 +12,8 @@
 import pytest
 
 from bench.leased_world import World
-from gentianmux.leased import placing
-from gentianmux.leased.job_state import Outcome
+from gentianmux.leased import placer
+from gentianmux.leased.job_state import JobOutcome
 from gentianmux.messages import Assign, Message
 
 SEEDS = (1, 2, 3)
@@ -53,9 +53,9 @@
 
 
 def is_in_time(job) -> bool:  # type: ignore[no-untyped-def]
-    verdict = job.ticket.verdict
-    served = verdict is not None and verdict.outcome is Outcome.COMPLETED
-    return served and job.ended_at - job.at <= job.ticket.job.objective_s
+    result = job.handle.result
+    served = result is not None and result.outcome is JobOutcome.COMPLETED
+    return served and job.ended_at - job.at <= job.handle.job.objective_s
 
 
 @pytest.mark.parametrize("fault", ["none", "still", "killed"])
@@ -63,7 +63,7 @@
     fault: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     together = [play(fault, seed) for seed in SEEDS]
-    monkeypatch.setattr(placing, "TOGETHER", 1)
+    monkeypatch.setattr(placer, "COLOCATED_TASKS", 1)
     apart = [play(fault, seed) for seed in SEEDS]
     assert sum(each.in_time for each in together) >= sum(each.in_time for each in apart)
     frames = sum(each.frames for each in together) / sum(each.frames for each in apart)
@@ -84,4 +84,6 @@
     assigned = [msg for msg in sent if isinstance(msg, Assign)]
     assert sum(len(msg.tasks) for msg in assigned) == 8
     assert sum(len(msg.payloads) for msg in assigned) == 2
-    assert {job.ticket.verdict.outcome for job in jobs if job.ticket.verdict} == {Outcome.COMPLETED}
+    assert {job.handle.result.outcome for job in jobs if job.handle.result} == {
+        JobOutcome.COMPLETED
+    }
