--- a/src/gentianmux/leased/admission.py
+++ b/src/gentianmux/leased/admission.py
@@ -7,7 +7,7 @@
 
 from .job_state import JobState, Prospect
 
-DECIDE_SHARE = 0.15
+DECISION_RATIO = 0.15
 """Part of its latency objective after which a job that has not begun is decided. A refusal after a
 quarter of the objective is of no use to the caller; the rest is margin for estimates that are up to
 40 % too high."""
@@ -17,7 +17,7 @@
 """Ratio of a job's expected wait to the work ahead of it: more urgent jobs overtake it, tasks do
 not fill endpoints exactly, and estimates are off."""
 
-ARRIVALS_S = 1.0
+RATE_WINDOW_S = 1.0
 """Seconds over which a work rate is averaged: a part of a usual burst that holds enough jobs."""
 
 LEAST_SEEN_S = 1.0
@@ -28,12 +28,12 @@
 """Part of the capacity that arriving work must leave for late jobs to be reached at all; the
 estimate of what arrives is off by as much."""
 
-MISTAKE_PAUSE_S = 1.0
+LATE_PAUSE_S = 1.0
 """Seconds without late admissions after a job was admitted in vain: the overload lasts, and others
 would wait in vain too."""
 
 
-LONGEST_RETRY_S = 5
+MAX_RETRY_AFTER_S = 5
 """Bound on the retry delay of refused callers: by then a burst is over or agents are back."""
 
 
@@ -64,14 +64,14 @@
     return late, not job.began, job.queue.priority, begin_by
 
 
-def wait_s(load: Load) -> float:
+def expected_wait_s(load: Load) -> float:
     """Expected wait of a job in seconds; infinite without capacity."""
     if load.capacity_cpu <= 0:
         return float("inf")
     return OVERTAKING * load.ahead_cpu_s / load.capacity_cpu
 
 
-def late_wait_s(load: Load, arriving_cpu: float | None) -> float:
+def expected_late_wait_s(load: Load, arriving_cpu: float | None) -> float:
     """Expected wait in seconds of a job behind all other work, including future arrivals.
 
     Parameters
@@ -82,31 +82,31 @@
         Rate of arriving work in cores; None while unknown.
     """
     if arriving_cpu is None or load.capacity_cpu <= 0:
-        return wait_s(load)
+        return expected_wait_s(load)
     left = 1.0 - arriving_cpu / load.capacity_cpu
     if left < LEAST_LEFT:
         return float("inf")
-    return max(wait_s(load), load.ahead_cpu_s / (load.capacity_cpu * left))
+    return max(expected_wait_s(load), load.ahead_cpu_s / (load.capacity_cpu * left))
 
 
 def retry_after_s(load: Load) -> int:
     """Seconds until a refused caller may retry, when the work ahead of it is done."""
     if load.capacity_cpu <= 0:
-        return LONGEST_RETRY_S
-    return min(LONGEST_RETRY_S, max(1, ceil(wait_s(load))))
+        return MAX_RETRY_AFTER_S
+    return min(MAX_RETRY_AFTER_S, max(1, ceil(expected_wait_s(load))))
 
 
-def due_at(job: JobState) -> float:
+def decision_time(job: JobState) -> float:
     """Monotonic time at which a job that has not begun is decided."""
-    return job.arrived + DECIDE_SHARE * job.objective_s
+    return job.arrived_at + DECISION_RATIO * job.objective_s
 
 
-class Arrivals:
+class WorkRate:
     """Mean rate of recorded work over a sliding window, in core-seconds per second; pure.
 
     Examples
     --------
-    >>> arrivals = Arrivals()
+    >>> arrivals = WorkRate()
     >>> for tenth in range(21):
     ...     arrivals.add(1.6, tenth / 10)
     >>> round(arrivals.rate(2.0), 1)
@@ -125,15 +125,15 @@
         self._forget(now)
 
     def rate(self, now: float) -> float | None:
-        """Mean rate over the last ``ARRIVALS_S``; None in the first ``LEAST_SEEN_S``."""
+        """Mean rate over the last ``RATE_WINDOW_S``; None in the first ``LEAST_SEEN_S``."""
         self._forget(now)
         if self._first_at is None or now - self._first_at < LEAST_SEEN_S:
             return None
-        seen_s = min(ARRIVALS_S, now - self._first_at)
+        seen_s = min(RATE_WINDOW_S, now - self._first_at)
         return sum(work for _, work in self._recent) / seen_s
 
     def _forget(self, now: float) -> None:
-        while self._recent and self._recent[0][0] <= now - ARRIVALS_S:
+        while self._recent and self._recent[0][0] <= now - RATE_WINDOW_S:
             self._recent.popleft()
 
 
@@ -155,24 +155,24 @@
         Jobs expected to meet their objective.
     late : list of JobState
         Jobs expected to miss it, but to end while their answer is of use.
-    given_up : list of JobState
+    expired : list of JobState
         Jobs admitted earlier that can no longer end while their answer is of use.
     """
 
     refused: list[Refusal]
     kept: list[JobState]
     late: list[JobState]
-    given_up: list[JobState]
+    expired: list[JobState]
 
 
 class Admission:
     """Admission policy of one service; pure.
 
-    A job that was admitted in vain suspends late admissions for ``MISTAKE_PAUSE_S``.
+    A job that was admitted in vain suspends late admissions for ``LATE_PAUSE_S``.
 
     Attributes
     ----------
-    next_due : float
+    next_decision_at : float
         Monotonic time at which a waiting job has to be decided next.
 
     Examples
@@ -181,16 +181,16 @@
     """
 
     def __init__(self) -> None:
-        self.next_due = float("inf")
-        self._mistaken_at = float("-inf")
+        self.next_decision_at = float("inf")
+        self._admitted_in_vain_at = float("-inf")
         self._late_began_at = float("-inf")
-        self._arrivals = Arrivals()
-        self._begun = Arrivals()
+        self._arrivals = WorkRate()
+        self._begun = WorkRate()
 
-    def arrived(self, job: JobState, now: float) -> None:
+    def record_arrival(self, job: JobState, now: float) -> None:
         """Record a job that has arrived."""
         self._arrivals.add(job.work_cpu_s, now)
-        self.next_due = min(self.next_due, due_at(job))
+        self.next_decision_at = min(self.next_decision_at, decision_time(job))
 
     def begun_cpu(self, now: float) -> float:
         """Rate of work that has begun, in core-seconds per second; infinite while unknown."""
@@ -202,7 +202,7 @@
         waiting: Iterable[JobState],
         capacity_cpu: float,
         now: float,
-        coming_cpu: float = 0.0,
+        expected_cpu: float = 0.0,
     ) -> Decision:
         """Decide jobs that have not begun.
 
@@ -214,7 +214,7 @@
             Cores that this entry's backlog can count on.
         now : float
             Monotonic time in seconds.
-        coming_cpu : float
+        expected_cpu : float
             Free cores of endpoints whose agents are about to connect. Jobs that fit there wait for
             no other, so that a restart of everything does not refuse them.
 
@@ -226,24 +226,24 @@
         ahead_cpu_s = 0.0
         ahead_cpu = 0.0
         decision = Decision([], [], [], [])
-        self.next_due = float("inf")
+        self.next_decision_at = float("inf")
         for job in waiting:
-            fits = ahead_cpu + job.cpu <= coming_cpu
+            fits = ahead_cpu + job.cpu <= expected_cpu
             load = Load(0.0 if fits else ahead_cpu_s, capacity_cpu)
             if not job.began:
-                if not self._keeps(job, load, now, decision):
+                if not self._decide_job(job, load, now, decision):
                     continue
-                self.next_due = min(self.next_due, self._next_due_of(job, now))
+                self.next_decision_at = min(self.next_decision_at, self._next_decision_of(job, now))
             ahead_cpu_s += job.work_cpu_s
             ahead_cpu += job.cpu
         return decision
 
-    def _next_due_of(self, job: JobState, now: float) -> float:
+    def _next_decision_of(self, job: JobState, now: float) -> float:
         """Monotonic time at which a job that keeps waiting has to be checked again."""
-        undecided = job.prospect is Prospect.OPEN and now < due_at(job)
-        return due_at(job) if undecided else job.last_useful_start
+        undecided = job.prospect is Prospect.OPEN and now < decision_time(job)
+        return decision_time(job) if undecided else job.last_useful_start
 
-    def begins(self, job: JobState, now: float) -> None:
+    def record_begin(self, job: JobState, now: float) -> None:
         """Record that a job begins.
 
         A timely job that begins too late, shortly after a late one has begun, suspends late
@@ -252,25 +252,25 @@
         self._begun.add(job.work_cpu_s, now)
         if job.prospect is Prospect.LATE:
             self._late_began_at = now
-        elif now > job.latest_start and now - self._late_began_at < MISTAKE_PAUSE_S:
-            self._mistaken_at = now
+        elif now > job.latest_start and now - self._late_began_at < LATE_PAUSE_S:
+            self._admitted_in_vain_at = now
 
-    def _keeps(self, job: JobState, load: Load, now: float, decision: Decision) -> bool:
+    def _decide_job(self, job: JobState, load: Load, now: float, decision: Decision) -> bool:
         """Decide one job that has not begun, and return whether it keeps waiting."""
         if job.prospect is not Prospect.OPEN:
             if now <= job.last_useful_start:
                 return True
-            self._mistaken_at = now
-            decision.given_up.append(job)
+            self._admitted_in_vain_at = now
+            decision.expired.append(job)
             return False
-        if now < due_at(job):
+        if now < decision_time(job):
             return True
-        if now + wait_s(load) <= job.latest_start:
+        if now + expected_wait_s(load) <= job.latest_start:
             decision.kept.append(job)
             return True
-        begins_late = now + late_wait_s(load, self._arrivals.rate(now))
-        of_use = begins_late <= job.last_useful_start
-        if of_use and now - self._mistaken_at > MISTAKE_PAUSE_S:
+        late_begin = now + expected_late_wait_s(load, self._arrivals.rate(now))
+        is_useful = late_begin <= job.last_useful_start
+        if is_useful and now - self._admitted_in_vain_at > LATE_PAUSE_S:
             decision.late.append(job)
             return True
         decision.refused.append(Refusal(job, load))
--- a/src/gentianmux/leased/admitting.py
+++ b/src/gentianmux/leased/admitting.py
@@ -5,16 +5,16 @@
 from loguru import logger
 
 from .admission import (
-    LONGEST_RETRY_S,
+    MAX_RETRY_AFTER_S,
     Admission,
     Decision,
+    expected_wait_s,
     retry_after_s,
-    wait_s,
 )
 from .entry_board import EntryBoard
 from .job_state import JobState, Prospect
 
-NO_AGENT_S = 0.5
+NO_AGENT_TIMEOUT_S = 0.5
 """Seconds for which a job waits while no agent serves its service; a restarted agent needs less."""
 
 
@@ -48,13 +48,13 @@
         """
         for service in self._board.backlog.services():
             admission = self.admissions[service]
-            if now >= admission.next_due or not self._board.view.is_served(service, now):
+            if now >= admission.next_decision_at or not self._board.view.is_served(service, now):
                 self._decide_service(service, admission, now)
 
     def _decide_service(self, service: str, admission: Admission, now: float) -> None:
         view = self._board.view
         entries = max(1, view.entries(now))
-        jobs = self._board.backlog.of(service)
+        jobs = self._board.backlog.jobs_of(service)
         capacity = view.capacity_cpu(service, now) / entries
         if self._board.window.is_limiting(now):
             # The link limits what can begin, however many endpoints are idle.
@@ -63,9 +63,9 @@
             self._refuse_without_agents(service, jobs, now)
             return
         self._no_agent_since.pop(service, None)
-        coming = view.coming_cpu(service, now) / entries
-        decision = admission.decide(jobs, capacity, now, coming)
-        self._carry_out(decision, now, entries)
+        expected = view.expected_cpu(service, now) / entries
+        decision = admission.decide(jobs, capacity, now, expected)
+        self._apply(decision, now, entries)
         self._reorder(decision.late)
 
     def _reorder(self, jobs: list[JobState]) -> None:
@@ -73,7 +73,7 @@
         for job in jobs:
             self._board.backlog.put(job)
 
-    def _carry_out(self, decision: Decision, now: float, entries: int) -> None:
+    def _apply(self, decision: Decision, now: float, entries: int) -> None:
         for job in decision.kept:
             job.prospect = Prospect.TIMELY
         for job in decision.late:
@@ -84,7 +84,7 @@
                 slack_ms=round((job.latest_start - now) * 1000),
                 useful_ms=round((job.last_useful_start - now) * 1000),
             ).info("late service decided")
-        for job in decision.given_up:
+        for job in decision.expired:
             self._board.metrics.count("jobs_kept_in_vain", label=job.prospect.value)
             self._board.give_up(job, "waited until its answer would be of no use")
         for job, load in decision.refused:
@@ -92,7 +92,7 @@
                 job=job.spec.job_id,
                 ahead_cpu_s=round(load.ahead_cpu_s, 2),
                 capacity_cpu=round(load.capacity_cpu, 1),
-                begins_in_ms=round(wait_s(load) * 1000),
+                begins_in_ms=round(expected_wait_s(load) * 1000),
                 slack_ms=round((job.latest_start - now) * 1000),
                 useful_ms=round((job.last_useful_start - now) * 1000),
                 entries=entries,
@@ -104,9 +104,9 @@
             # An evacuation lasts longer than any job may wait.
             for job in jobs:
                 reason = "every endpoint of its service is evacuated"
-                self._board.give_up(job, reason, LONGEST_RETRY_S)
+                self._board.give_up(job, reason, MAX_RETRY_AFTER_S)
             return
         since = self._no_agent_since.setdefault(service, now)
         for job in jobs:
-            if now - max(since, job.arrived) > NO_AGENT_S:
+            if now - max(since, job.arrived_at) > NO_AGENT_TIMEOUT_S:
                 self._board.give_up(job, "no agent serves its service")
--- a/src/gentianmux/leased/backlog.py
+++ b/src/gentianmux/leased/backlog.py
@@ -6,23 +6,23 @@
 from typing import NamedTuple
 
 from .admission import urgency
-from .job_state import JobState, Waiting
+from .job_state import JobDemand, JobState
 from .room import NO_ROOM, Room
 
-Kind = tuple[bool, bool, int]
+UrgencyClass = tuple[bool, bool, int]
 """Urgency class: late, not begun, priority."""
 
 
-class _Place(NamedTuple):
+class _QueuedJob(NamedTuple):
     """Position of a job in the queue of its service; ``number`` makes each position unique."""
 
     urgency: tuple[bool, bool, int, float]
     number: int
     job: JobState
-    waiting: Waiting
+    demand: JobDemand
 
     @property
-    def kind(self) -> Kind:
+    def urgency_class(self) -> UrgencyClass:
         """Urgency class of the job at this position."""
         return self.urgency[:3]
 
@@ -32,7 +32,7 @@
 
     Attributes
     ----------
-    kind : tuple
+    urgency_class : tuple
         The urgency class.
     total : Room
         Resources that all of them need.
@@ -42,50 +42,52 @@
         Monotonic time by which the most urgent job has to begin.
     """
 
-    kind: Kind
+    urgency_class: UrgencyClass
     total: Room
     least_cpu: int
     begin_by: float
 
 
-class _Sum:
+class _DemandTotals:
     """Running totals of one urgency class."""
 
     def __init__(self) -> None:
         self.total = NO_ROOM
         self.least_cpus: list[int] = []
 
-    def add(self, waiting: Waiting) -> None:
-        self.total = self.total.plus(waiting.total)
-        insort(self.least_cpus, waiting.least.cpu)
+    def add(self, demand: JobDemand) -> None:
+        self.total = self.total.plus(demand.total)
+        insort(self.least_cpus, demand.least.cpu)
 
-    def remove(self, waiting: Waiting) -> None:
-        self.total = self.total.minus(waiting.total)
-        del self.least_cpus[bisect_left(self.least_cpus, waiting.least.cpu)]
+    def remove(self, demand: JobDemand) -> None:
+        self.total = self.total.minus(demand.total)
+        del self.least_cpus[bisect_left(self.least_cpus, demand.least.cpu)]
 
 
 class _Queue:
     """Waiting jobs of one service in order of urgency, with the demand of each urgency class."""
 
     def __init__(self) -> None:
-        self.places: list[_Place] = []
-        self.sums: dict[Kind, _Sum] = {}
+        self.queued_jobs: list[_QueuedJob] = []
+        self.class_totals: dict[UrgencyClass, _DemandTotals] = {}
 
-    def add(self, place: _Place) -> None:
-        insort(self.places, place)
-        self.sums.setdefault(place.kind, _Sum()).add(place.waiting)
+    def add(self, queued_job: _QueuedJob) -> None:
+        insort(self.queued_jobs, queued_job)
+        self.class_totals.setdefault(queued_job.urgency_class, _DemandTotals()).add(
+            queued_job.demand
+        )
 
-    def remove(self, place: _Place) -> None:
-        del self.places[bisect_left(self.places, place)]
-        kept = self.sums[place.kind]
-        kept.remove(place.waiting)
-        if not kept.least_cpus:
-            del self.sums[place.kind]
+    def remove(self, queued_job: _QueuedJob) -> None:
+        del self.queued_jobs[bisect_left(self.queued_jobs, queued_job)]
+        totals = self.class_totals[queued_job.urgency_class]
+        totals.remove(queued_job.demand)
+        if not totals.least_cpus:
+            del self.class_totals[queued_job.urgency_class]
 
-    def demand(self, kind: Kind) -> Demand:
-        kept = self.sums[kind]
-        first = self.places[bisect_left(self.places, ((*kind, -inf),))]
-        return Demand(kind, kept.total, kept.least_cpus[0], first.urgency[3])
+    def demand_of(self, urgency_class: UrgencyClass) -> Demand:
+        totals = self.class_totals[urgency_class]
+        first = self.queued_jobs[bisect_left(self.queued_jobs, ((*urgency_class, -inf),))]
+        return Demand(urgency_class, totals.total, totals.least_cpus[0], first.urgency[3])
 
 
 class Backlog:
@@ -96,43 +98,47 @@
 
     Attributes
     ----------
-    changes : int
+    version : int
         Increases whenever a job is added, removed or moved.
 
     Examples
     --------
     ``backlog.put(job)`` when tasks of a job wait, and again after its urgency has changed;
-    ``backlog.of("intake")`` lists the waiting jobs of a service, most urgent first.
+    ``backlog.jobs_of("intake")`` lists the waiting jobs of a service, most urgent first.
     """
 
     def __init__(self) -> None:
-        self.changes = 0
-        self._places: dict[str, _Place] = {}
+        self.version = 0
+        self._queued: dict[str, _QueuedJob] = {}
         self._queues: dict[str, _Queue] = {}
-        self._number = 0
+        self._last_number = 0
 
     def __len__(self) -> int:
-        return len(self._places)
+        return len(self._queued)
 
     def __contains__(self, job_id: str) -> bool:
-        return job_id in self._places
+        return job_id in self._queued
 
     def __iter__(self) -> Iterator[JobState]:
-        return (place.job for place in self._places.values())
+        return (queued_job.job for queued_job in self._queued.values())
 
     def services(self) -> list[str]:
         """Services with waiting jobs."""
         return list(self._queues)
 
-    def of(self, service: str) -> list[JobState]:
+    def jobs_of(self, service: str) -> list[JobState]:
         """Waiting jobs of a service, most urgent first."""
         queue = self._queues.get(service)
-        return [] if queue is None else [place.job for place in queue.places]
+        return [] if queue is None else [queued_job.job for queued_job in queue.queued_jobs]
 
     def demands(self, service: str) -> list[Demand]:
         """Demand for a service by urgency class, most urgent first."""
         queue = self._queues.get(service)
-        return [] if queue is None else [queue.demand(kind) for kind in sorted(queue.sums)]
+        return (
+            []
+            if queue is None
+            else [queue.demand_of(urgency_class) for urgency_class in sorted(queue.class_totals)]
+        )
 
     def least_cpu(self, service: str) -> int:
         """CPU need of the smallest waiting task, in thousandths of a core; 0 when nothing waits."""
@@ -140,21 +146,21 @@
 
     def put(self, job: JobState) -> None:
         """Add a job, or move it to the position of its present urgency."""
-        self.drop(job)
-        self._number += 1
-        place = _Place(urgency(job), self._number, job, job.waiting)
-        self._places[job.spec.job_id] = place
-        self._queues.setdefault(job.queue.service, _Queue()).add(place)
-        self.changes += 1
-
-    def drop(self, job: JobState) -> None:
+        self.discard(job)
+        self._last_number += 1
+        queued_job = _QueuedJob(urgency(job), self._last_number, job, job.demand)
+        self._queued[job.spec.job_id] = queued_job
+        self._queues.setdefault(job.queue.service, _Queue()).add(queued_job)
+        self.version += 1
+
+    def discard(self, job: JobState) -> None:
         """Remove a job; one that does not wait is ignored."""
-        place = self._places.pop(job.spec.job_id, None)
-        if place is None:
+        queued_job = self._queued.pop(job.spec.job_id, None)
+        if queued_job is None:
             return
         service = job.queue.service
         queue = self._queues[service]
-        queue.remove(place)
-        if not queue.places:
+        queue.remove(queued_job)
+        if not queue.queued_jobs:
             del self._queues[service]
-        self.changes += 1
+        self.version += 1
--- a/src/gentianmux/leased/caller_watch.py
+++ b/src/gentianmux/leased/caller_watch.py
@@ -10,7 +10,7 @@
 from .job_state import Outcome
 from .ticket import Ticket, Verdict
 
-LAST_WORD_S = 0.5
+RESULT_GRACE_S = 0.5
 """Seconds after its deadline within which a job must have its result. The entry checks deadlines
 more often, so only a fault of the entry exceeds them."""
 
@@ -37,9 +37,9 @@
     """
     ticket.waiters += 1
     watch = None if sock is None else CallerWatch(entry, ticket, sock)
-    left_s = ticket.job.deadline - entry.now() + LAST_WORD_S
+    remaining_s = ticket.job.deadline - entry.now() + RESULT_GRACE_S
     try:
-        ticket.done.wait(max(LAST_WORD_S, left_s))
+        ticket.done.wait(max(RESULT_GRACE_S, remaining_s))
     finally:
         ticket.waiters -= 1
         if watch is not None:
@@ -86,10 +86,10 @@
     def _on_readable(self) -> None:
         """Stop the job if the caller has disconnected; other data is its next request."""
         self._watcher.stop()
-        if self._is_gone() and self._ticket.waiters <= 1:
+        if self._is_disconnected() and self._ticket.waiters <= 1:
             self._entry.abandon(self._ticket, "the caller left")
 
-    def _is_gone(self) -> bool:
+    def _is_disconnected(self) -> bool:
         try:
             return not self._sock._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
--- a/src/gentianmux/leased/candidates.py
+++ b/src/gentianmux/leased/candidates.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from .fleet_view import AgentView, FleetView, Wish
 
-_Entry = tuple[int, float, float, int]
+_HeapItem = tuple[int, float, float, int]
 
 
 class Candidates:
@@ -33,67 +33,67 @@
     def __init__(self, view: "FleetView", agents: Iterable["AgentView"]) -> None:
         self._view = view
         self._agents = [agent for agent in agents if agent.free.cpu > 0]
-        self._heap: list[_Entry] = [self._entry(n) for n in range(len(self._agents))]
+        self._heap: list[_HeapItem] = [self._heap_item(n) for n in range(len(self._agents))]
         heapify(self._heap)
-        self._taken: int | None = None
+        self._last_taken: int | None = None
 
     def __len__(self) -> int:
         return len(self._agents)
 
-    def _entry(self, number: int) -> _Entry:
-        return *self._view.weight(self._agents[number]), number
+    def _heap_item(self, number: int) -> _HeapItem:
+        return *self._view.rank(self._agents[number]), number
 
     def _put_back_taken(self) -> None:
-        number, self._taken = self._taken, None
+        number, self._last_taken = self._last_taken, None
         if number is not None and self._agents[number].free.cpu > 0:
-            heappush(self._heap, self._entry(number))
+            heappush(self._heap, self._heap_item(number))
 
     @property
-    def most_cpu(self) -> int:
+    def max_free_cpu(self) -> int:
         """Largest free CPU of any agent, in thousandths of a core."""
         return max((agent.free.cpu for agent in self._agents), default=0)
 
-    def has_room(self, need: Room) -> bool:
+    def has_resources(self, need: Room) -> bool:
         """Whether any agent has the free resources for a task, other requirements aside."""
         return any(agent.free.fits(need) for agent in self._agents)
 
-    def take_again(self, wish: "Wish") -> "AgentView | None":
+    def take_last(self, wish: "Wish") -> "AgentView | None":
         """Return the agent taken last, if it suits another task of the same job."""
-        if self._taken is None or wish.is_picky:
+        if self._last_taken is None or wish.is_picky:
             return None
-        agent = self._agents[self._taken]
-        return agent if _has_room(agent, wish) else None
+        agent = self._agents[self._last_taken]
+        return agent if _suits(agent, wish) else None
 
     def take(self, wish: "Wish") -> "AgentView | None":
         """Return the best agent for a task; None when none suits it."""
         self._put_back_taken()
         if wish.is_picky:
             # The heap ignores constraints, which few tasks have.
-            return self._take_picky(wish)
-        passed: list[_Entry] = []
+            return self._take_constrained(wish)
+        skipped: list[_HeapItem] = []
         found = None
         while self._heap and found is None:
-            entry = heappop(self._heap)
-            agent = self._agents[entry[-1]]
-            if _has_room(agent, wish):
+            item = heappop(self._heap)
+            agent = self._agents[item[-1]]
+            if _suits(agent, wish):
                 found = agent
-                self._taken = entry[-1]
+                self._last_taken = item[-1]
             else:
-                passed.append(entry)
-        for entry in passed:
-            heappush(self._heap, entry)
+                skipped.append(item)
+        for item in skipped:
+            heappush(self._heap, item)
         return found
 
-    def _take_picky(self, wish: "Wish") -> "AgentView | None":
+    def _take_constrained(self, wish: "Wish") -> "AgentView | None":
         agent = self._view.choose(wish, self._agents)
         if agent is not None:
             # The next call pushes it again with its new rank.
             number = self._agents.index(agent)
-            self._heap = [entry for entry in self._heap if entry[-1] != number]
+            self._heap = [item for item in self._heap if item[-1] != number]
             heapify(self._heap)
-            self._taken = number
+            self._last_taken = number
         return agent
 
 
-def _has_room(agent: "AgentView", wish: "Wish") -> bool:
+def _suits(agent: "AgentView", wish: "Wish") -> bool:
     return agent.free.fits(wish.need) and wish.estimate_ms <= agent.longest_ms
--- a/src/gentianmux/leased/claiming.py
+++ b/src/gentianmux/leased/claiming.py
@@ -9,7 +9,7 @@
 MAX_CLAIMS = 4
 """Most claims of one entry for one service; the least urgent classes beyond it are left out."""
 
-LONGEST_MS = 60_000
+MAX_BEGIN_IN_MS = 60_000
 """Bound on ``begin_in_ms`` in either direction."""
 
 Signature = tuple[tuple[bool, bool, int], ...]
@@ -30,8 +30,8 @@
 
 
 def _claim(demand: Demand, now: float) -> Claim:
-    late, not_begun, priority = demand.kind
-    begin_in_ms = int(max(-LONGEST_MS, min(LONGEST_MS, (demand.begin_by - now) * 1000)))
+    late, not_begun, priority = demand.urgency_class
+    begin_in_ms = int(max(-MAX_BEGIN_IN_MS, min(MAX_BEGIN_IN_MS, (demand.begin_by - now) * 1000)))
     return Claim(*demand.total, demand.least_cpu, late, not not_begun, priority, begin_in_ms)
 
 
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -26,7 +26,7 @@
 from .evacuation_sharing import EvacuationSharing
 from .evacuations import Evacuations
 from .fleet_view import FleetView
-from .job_state import JobState, Outcome, longest_chain_s
+from .job_state import JobState, Outcome, estimate_critical_path_s
 from .leaving import ends_in_time
 from .links import Links
 from .model import How, JobSpec, QueueRules
@@ -39,18 +39,18 @@
 """Seconds between checks of deadlines and decisions; short jobs are decided within a few of
 them."""
 
-IDLE_STEP_S = 0.025
+IDLE_TICK_S = 0.025
 """The same while no task waits for resources: a new job is placed as it arrives, and decided
 later."""
 
 LOSS_CHECK_S = 0.05
 """Seconds between checks for lost agents."""
 
-LAST_REQUESTS_S = 0.1
+LAST_REQUESTS_TIMEOUT_S = 0.1
 """Seconds without a job before an entry that shuts down accepts none any more: requests on open
 connections still arrive after the balancer was notified."""
 
-LEAVE_CHECK_S = 0.02
+DRAIN_CHECK_INTERVAL_S = 0.02
 """Seconds between checks whether an entry that shuts down has no jobs left."""
 
 
@@ -89,9 +89,11 @@
         self._board = EntryBoard(view, links, feed, metrics, clock, link_bytes_s)
         self._handing = ConfigHanding(feed, links, clock)
         self._sharing = EvacuationSharing(feed.evacuations, links, self._on_evacuations)
-        self._ends = RunEnds(self._board)
-        self._admitting = Admitting(self._board)
-        self._placing = Placing(self._board, self._ends, self._admitting.admissions)
+        self._completions = RunEnds(self._board)
+        self._admission_controller = Admitting(self._board)
+        self._placing = Placing(
+            self._board, self._completions, self._admission_controller.admissions
+        )
         self.leaving = False
         self._leaves_at = float("inf")
         self._idle_since: float | None = None
@@ -134,7 +136,7 @@
         self._board.jobs[spec.job_id] = ticket
         self._board.backlog.put(job)
         self._board.metrics.count("jobs_admitted")
-        self._admitting.admissions[queue.service].arrived(job, now)
+        self._admission_controller.admissions[queue.service].record_arrival(job, now)
         self._placing.place()
         return ticket
 
@@ -170,12 +172,12 @@
         view = self._board.view.of(agent)
         now = self._board.clock.now()
         view.take_load(msg, now)
-        self._board.window.told(agent, msg.applied, now)
+        self._board.window.acknowledged(agent, msg.applied, now)
         self._handing.heard_of(agent, msg.config_version)
         if view.free.cpu > 0:
-            self._placing.soon()
+            self._placing.place_soon()
         # Return resources that are granted to tasks that no longer wait.
-        gives_back = not self._board.backlog and bool(view.told)
+        gives_back = not self._board.backlog and bool(view.sent_signature)
         if gives_back or self._board.clock.now() - view.echoed_at >= ECHO_GAP_S:
             self._board.echo(view)
 
@@ -190,24 +192,24 @@
                 peer=agent, endpoint=msg.life, accepting=msg.accepting, service=msg.service
             ).info("endpoint state")
         if msg.accepting:
-            self._ends.lose_earlier_lives(agent)
-        self._placing.soon()
+            self._completions.lose_earlier_processes(agent)
+        self._placing.place_soon()
 
     @on_message.register
     def _(self, msg: EndedRuns, agent: str) -> None:
         for row in msg.runs:
-            self._ends.take(agent, row.task, row.run, How(row.how))
+            self._completions.record_end(agent, row.task, row.run, How(row.how))
         view = self._board.view.of(agent)
         if msg.runs:
-            view.seen = max(view.seen, msg.runs[-1].number)
-        if view.is_leaving:
+            view.last_ended_number = max(view.last_ended_number, msg.runs[-1].number)
+        if view.is_shutting_down:
             # A stopping agent ends once its last runs are acknowledged.
             self._board.echo(view)
-        self._placing.soon()
+        self._placing.place_soon()
 
     @on_message.register
     def _(self, msg: Holding, agent: str) -> None:
-        self._ends.compare(msg, agent)
+        self._completions.reconcile(msg, agent)
 
     @on_message.register
     def _(self, msg: ConfigWanted, agent: str) -> None:
@@ -223,14 +225,14 @@
 
     def _on_evacuations(self, evacuations: Evacuations) -> None:
         self._board.view.evacuated = evacuations.failure_domains
-        self._placing.soon()
+        self._placing.place_soon()
 
     # Losses
 
     def _on_open(self, hello: Hello) -> None:
         # Before any assignment: the agent may have just started.
         self._sharing.greet(hello.process)
-        self._ends.opened_at[hello.process] = self._board.clock.now()
+        self._completions.opened_at[hello.process] = self._board.clock.now()
         self._board.window.forget(hello.process)
         # Echo the next report at once: the connection may replace a silent one, whose entry lease
         # is about to expire.
@@ -248,20 +250,20 @@
     def run_loops(self) -> list[gevent.Greenlet]:
         """Spawn the periodic loops."""
         return [
-            gevent.spawn(repeat, 0.0, self._step_and_rest),
+            gevent.spawn(repeat, 0.0, self._tick_and_sleep),
             gevent.spawn(repeat, LOSS_CHECK_S, self.check_losses),
         ]
 
-    def _step_and_rest(self) -> None:
+    def _tick_and_sleep(self) -> None:
         self.step()
-        gevent.sleep(STEP_S if self._board.backlog else IDLE_STEP_S)
+        gevent.sleep(STEP_S if self._board.backlog else IDLE_TICK_S)
 
     def check_losses(self) -> None:
         """End the runs of lost agents, and close idle connections."""
         now = self._board.clock.now()
         for process in list(self._board.view.agents):
-            if self._board.view.is_over(process, now):
-                self._ends.lose(process, "silent for longer than every lease")
+            if self._board.view.is_expired(process, now):
+                self._completions.lose_process(process, "silent for longer than every lease")
         self._board.links.close_silent()
 
     def step(self) -> None:
@@ -270,24 +272,26 @@
         for ticket in list(self._board.jobs.values()):
             if now >= ticket.job.deadline:
                 self._board.give_up(ticket.job, "deadline passed")
-        self._correct_window(now)
+        self._adjust_window(now)
         if self._board.backlog:
-            self._admitting.decide(now)
+            self._admission_controller.decide(now)
             self._placing.place()
 
-    def _correct_window(self, now: float) -> None:
+    def _adjust_window(self, now: float) -> None:
         window = self._board.window
         before = window.limit
-        window.correct(now)
+        window.adjust(now)
         if window.limit < before:
-            logger.bind(limit_bytes=window.limit, before=before, on_way_bytes=window.on_way).info(
-                "link is full"
-            )
+            logger.bind(
+                limit_bytes=window.limit, before=before, on_way_bytes=window.in_flight_bytes
+            ).info("link is full")
         self._board.metrics.gauge("link_window_bytes", window.limit)
 
     def takes(self, spec: JobSpec) -> bool:
         """Whether a job is expected to end before this process does."""
-        return ends_in_time(longest_chain_s(spec), self._leaves_at - self._board.clock.now())
+        return ends_in_time(
+            estimate_critical_path_s(spec), self._leaves_at - self._board.clock.now()
+        )
 
     def leave(self, linger_s: float, until: float) -> None:
         """Accept jobs that can end before ``until`` for at least ``linger_s``, and answer all.
@@ -304,7 +308,7 @@
         self.begin_leaving(until)
         gevent.sleep(linger_s)
         while not self.has_left() and self._board.clock.now() < until:
-            gevent.sleep(LEAVE_CHECK_S)
+            gevent.sleep(DRAIN_CHECK_INTERVAL_S)
         self._leaves_at = self._board.clock.now()
         for ticket in list(self._board.jobs.values()):
             self._board.give_up(ticket.job, "the entry ends")
@@ -325,7 +329,7 @@
             return False
         if self._idle_since is None:
             self._idle_since = now
-        if now - self._idle_since < LAST_REQUESTS_S:
+        if now - self._idle_since < LAST_REQUESTS_TIMEOUT_S:
             return False
         self._leaves_at = now
         return True
--- a/src/gentianmux/leased/entry_board.py
+++ b/src/gentianmux/leased/entry_board.py
@@ -16,11 +16,11 @@
 from .send_window import SendWindow
 from .ticket import Ticket, Verdict
 
-CLAIMS_S = 0.01
+CLAIMS_TTL_S = 0.01
 """Seconds for which computed claims are reused while the backlog is unchanged; ``begin_in_ms`` is
 off by no more."""
 
-RETRY_AFTER_S = 1
+DEFAULT_RETRY_AFTER_S = 1
 """Default retry delay of refused callers in seconds."""
 
 
@@ -50,7 +50,7 @@
         Those of them with tasks that wait for resources.
     window : SendWindow
         Bound on the bytes in flight to agents.
-    out : dict
+    assigned_runs : dict
         For each agent's process its assigned runs, by task and number, with their jobs.
 
     Examples
@@ -75,20 +75,20 @@
         self.jobs: dict[str, Ticket] = {}
         self.backlog = Backlog()
         self.window = SendWindow(link_bytes_s)
-        self.out: defaultdict[str, dict[tuple[str, int], JobState]] = defaultdict(dict)
+        self.assigned_runs: defaultdict[str, dict[tuple[str, int], JobState]] = defaultdict(dict)
         self._claims: dict[str, list[Claim]] = {}
         self._claims_until = 0.0
-        self._claims_of = 0
+        self._claims_version = 0
 
     def finish(self, job: JobState, verdict: Verdict) -> None:
         """End a job: withdraw its runs, and notify those who wait for its result."""
         ticket = self.jobs.pop(job.spec.job_id, None)
         if ticket is None:
             return
-        self.backlog.drop(job)
+        self.backlog.discard(job)
         self._withdraw(job)
         ticket.verdict = verdict
-        took_s = self.clock.now() - job.arrived
+        took_s = self.clock.now() - job.arrived_at
         self.metrics.count("jobs_ended", label=verdict.outcome.value)
         self.metrics.observe("job_seconds", took_s, label=job.queue.name)
         logger.bind(
@@ -98,7 +98,7 @@
             reason=verdict.reason,
             took_ms=round(took_s * 1000),
             objective_ms=round(job.objective_s * 1000),
-            time_limit_ms=round((job.deadline - job.arrived) * 1000),
+            time_limit_ms=round((job.deadline - job.arrived_at) * 1000),
             began=job.began,
             tasks=len(job.tasks),
         ).info("job ended")
@@ -106,14 +106,16 @@
 
     def _withdraw(self, job: JobState) -> None:
         by_agent: dict[str, list[RunRef]] = defaultdict(list)
-        for task in job.out():
+        for task in job.assigned_tasks():
             by_agent[task.agent].append(RunRef(task.name, task.run))
-            self.out[task.agent].pop((task.name, task.run), None)
+            self.assigned_runs[task.agent].pop((task.name, task.run), None)
         for agent, refs in by_agent.items():
             self.metrics.count("runs_withdrawn", len(refs))
             self.links.send(agent, Withdraw(refs))
 
-    def give_up(self, job: JobState, reason: str, again_s: int = RETRY_AFTER_S) -> None:
+    def give_up(
+        self, job: JobState, reason: str, retry_after_s: int = DEFAULT_RETRY_AFTER_S
+    ) -> None:
         """End a job that is not served: as not run where that is proved, else as unknown.
 
         Parameters
@@ -122,20 +124,20 @@
             The job.
         reason : str
             Reason that its caller is given.
-        again_s : int
+        retry_after_s : int
             Retry delay in seconds for a job that has not run.
         """
         if job.proved_not_run:
-            self.finish(job, Verdict(Outcome.NOT_RUN, reason, again_s))
+            self.finish(job, Verdict(Outcome.NOT_RUN, reason, retry_after_s))
         else:
             self.finish(job, Verdict(Outcome.UNKNOWN, reason))
 
     def claims(self, service: str) -> list[Claim]:
         """Claims for the waiting tasks of a service, cached while the backlog is unchanged."""
         now = self.clock.now()
-        if now >= self._claims_until or self._claims_of != self.backlog.changes:
-            self._claims_until = now + CLAIMS_S
-            self._claims_of = self.backlog.changes
+        if now >= self._claims_until or self._claims_version != self.backlog.version:
+            self._claims_until = now + CLAIMS_TTL_S
+            self._claims_version = self.backlog.version
             self._claims.clear()
         if service not in self._claims:
             self._claims[service] = claims_of(self.backlog.demands(service), now)
@@ -144,7 +146,9 @@
     def echo(self, agent: AgentView, gives_back: bool = False) -> None:
         """Echo an agent's newest load report, and send it the claims for its service."""
         claims = [] if agent.state is None else self.claims(agent.state.service)
-        agent.told = signature(claims)
-        agent.echoed()
-        msg = LoadEcho(agent.newest_load, self.feed.version, gives_back, claims, agent.seen)
+        agent.sent_signature = signature(claims)
+        agent.mark_echoed()
+        msg = LoadEcho(
+            agent.newest_load, self.feed.version, gives_back, claims, agent.last_ended_number
+        )
         self.links.send(agent.process, msg)
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -12,14 +12,14 @@
 from .model import node_of
 from .room import NO_ROOM, Room
 
-SILENT_S = CHAIN_S - 0.05
+MAX_REPORT_AGE_S = CHAIN_S - 0.05
 """Age in seconds of its newest load report from which an agent gets no new runs: they would arrive
 after the entry lease has expired, and be refused."""
 
-SAMPLE = 64
+MAX_AGENTS_PER_TASK = 64
 """Agents compared for one task; more cost time and hardly find more resources."""
 
-LOOKED_AT = 256
+MAX_AGENTS_PER_ROUND = 256
 """Agents considered in one placement round, whose cost then does not grow with the fleet. More than
 are compared for a task, since some may be silent, shutting down or of other services."""
 
@@ -47,11 +47,11 @@
         Resources offered, less what was assigned since the report that offered them.
     slowness : float
         Mean run time over estimate at the endpoint.
-    assigned : int
+    last_assigned_number : int
         Number of the last assignment.
-    failed_until : float
+    backoff_until : float
         Monotonic time until which the agent gets no runs, after a refusal.
-    told : tuple
+    sent_signature : tuple
         Urgency classes of the claims that were sent last.
     entries : int
         Entries that share the agent.
@@ -59,7 +59,7 @@
         Longest estimate of a run that the agent accepts, in ms.
     echoed_at : float
         Monotonic time at which the newest echoed report was received.
-    seen : int
+    last_ended_number : int
         Number of the newest ended run that was recorded.
     """
 
@@ -69,15 +69,15 @@
     newest_load: int = 0
     free: Room = NO_ROOM
     slowness: float = 1.0
-    assigned: int = 0
+    last_assigned_number: int = 0
     _offered: Room = NO_ROOM
     _pending: dict[int, Room] = field(default_factory=dict)
-    failed_until: float = 0.0
-    told: Signature = ()
+    backoff_until: float = 0.0
+    sent_signature: Signature = ()
     entries: int = 1
     longest_ms: int = NO_BOUND_MS
     echoed_at: float = 0.0
-    seen: int = 0
+    last_ended_number: int = 0
 
     def offer(self, room: Room) -> None:
         """Set the resources that the agent offers; pending assignments are deducted."""
@@ -104,7 +104,7 @@
             del self._pending[number]
         self.offer(Room(load.cpu, load.mem_mb, load.gpu))
 
-    def echoed(self) -> None:
+    def mark_echoed(self) -> None:
         """Record that the newest report is echoed, with an assignment or with claims.
 
         Counts from the time of that report: it may be old, and if it counted as an echo of the
@@ -113,16 +113,16 @@
         self.echoed_at = max(self.echoed_at, self.heard_at)
 
     @property
-    def is_leaving(self) -> bool:
+    def is_shutting_down(self) -> bool:
         """Whether the agent is shutting down and accepts only short runs."""
         return self.longest_ms != NO_BOUND_MS
 
     def is_fresh(self, now: float) -> bool:
         """Whether the agent has reported lately."""
-        return now - self.heard_at <= SILENT_S
+        return now - self.heard_at <= MAX_REPORT_AGE_S
 
 
-class Expected(NamedTuple):
+class ExpectedAgent(NamedTuple):
     """An announced agent that has not reported yet."""
 
     service: str
@@ -186,7 +186,7 @@
         self.agents: dict[str, AgentView] = {}
         self.evacuated: tuple[str, ...] = ()
         self._order: list[AgentView] = []
-        self._expected: dict[str, Expected] = {}
+        self._expected: dict[str, ExpectedAgent] = {}
         self._lease_s = lease_s
         self._rng = rng
 
@@ -198,11 +198,11 @@
             self._order.append(view)
         return view
 
-    def forget(self, process: str) -> None:
+    def remove_agent(self, process: str) -> None:
         """Remove an agent's process whose leases have expired."""
         self._order.remove(self.agents.pop(process))
 
-    def is_over(self, process: str, now: float) -> bool:
+    def is_expired(self, process: str, now: float) -> bool:
         """Whether every lease of the agent's runs has expired."""
         view = self.agents.get(process)
         return view is None or now > surely_over(view.heard_at, self._lease_s)
@@ -215,14 +215,14 @@
         """Whether any agent starts runs of a service."""
         return any(self._serves(agent, service, now) for agent in self._order)
 
-    def _some(self) -> list[AgentView]:
-        if len(self._order) <= LOOKED_AT:
+    def _sample(self) -> list[AgentView]:
+        if len(self._order) <= MAX_AGENTS_PER_ROUND:
             return self._order
-        return self._rng.sample(self._order, LOOKED_AT)
+        return self._rng.sample(self._order, MAX_AGENTS_PER_ROUND)
 
     def serving(self, service: str, now: float) -> list[AgentView]:
         """Agents with a recent report that start runs of a service; a sample of a large fleet."""
-        return [agent for agent in self._some() if self._serves(agent, service, now)]
+        return [agent for agent in self._sample() if self._serves(agent, service, now)]
 
     def _serves(self, agent: AgentView, service: str, now: float) -> bool:
         state = agent.state
@@ -246,7 +246,7 @@
 
     def willing(self, service: str, now: float) -> list[AgentView]:
         """Agents that serve a service and have not refused a run lately."""
-        return [agent for agent in self.serving(service, now) if now >= agent.failed_until]
+        return [agent for agent in self.serving(service, now) if now >= agent.backoff_until]
 
     def expect(self, node: str, service: str, failure_domain: str, cpu: int, now: float) -> None:
         """Count an announced agent as capacity until it reports, for ``EXPECTED_S`` at most.
@@ -254,24 +254,24 @@
         While only the first agents have connected after a restart of everything, jobs would
         otherwise be refused for lack of capacity.
         """
-        self._expected[node] = Expected(service, failure_domain, cpu, now + EXPECTED_S)
+        self._expected[node] = ExpectedAgent(service, failure_domain, cpu, now + EXPECTED_S)
 
     def capacity_cpu(self, service: str, now: float) -> float:
         """Cores of all endpoints that serve a service; extrapolated in a large fleet."""
         serving = self.serving(service, now)
-        looked_at = max(1, min(len(self._order), LOOKED_AT))
-        known = sum(_capacity_of(a).cpu for a in serving) / 1000 * len(self._order) / looked_at
-        return known + self.coming_cpu(service, now)
+        sampled = max(1, min(len(self._order), MAX_AGENTS_PER_ROUND))
+        known = sum(_capacity_of(a).cpu for a in serving) / 1000 * len(self._order) / sampled
+        return known + self.expected_cpu(service, now)
 
-    def coming_cpu(self, service: str, now: float) -> float:
+    def expected_cpu(self, service: str, now: float) -> float:
         """Cores of announced agents that have not reported yet."""
         if not self._expected:
             return 0.0
-        heard = {node_of(agent.process) for agent in self._order if agent.state is not None}
+        reported = {node_of(agent.process) for agent in self._order if agent.state is not None}
         self._expected = {
             node: each
             for node, each in self._expected.items()
-            if now < each.until and node not in heard
+            if now < each.until and node not in reported
         }
         counted = (
             each.cpu
@@ -282,17 +282,17 @@
 
     def entries(self, now: float) -> int:
         """Number of entries that share the agents, this one included."""
-        return max((agent.entries for agent in self._some() if agent.is_fresh(now)), default=1)
+        return max((agent.entries for agent in self._sample() if agent.is_fresh(now)), default=1)
 
     def choose(self, wish: Wish, serving: Iterable[AgentView]) -> AgentView | None:
         """Return the best of some serving agents for a task; None when none suits it."""
         agents = list(serving)
-        if len(agents) > SAMPLE:
-            agents = self._rng.sample(agents, SAMPLE)
-        able = [agent for agent in agents if self._suits(agent, wish)]
-        if not able:
+        if len(agents) > MAX_AGENTS_PER_TASK:
+            agents = self._rng.sample(agents, MAX_AGENTS_PER_TASK)
+        suitable = [agent for agent in agents if self._suits(agent, wish)]
+        if not suitable:
             return None
-        return min(able, key=lambda agent: self._cost(agent, wish))
+        return min(suitable, key=lambda agent: self._sort_key(agent, wish))
 
     def _suits(self, agent: AgentView, wish: Wish) -> bool:
         state = agent.state
@@ -304,12 +304,12 @@
             return False
         return agent.free.fits(wish.need)
 
-    def _cost(self, agent: AgentView, wish: Wish) -> tuple[bool, int, float, float]:
+    def _sort_key(self, agent: AgentView, wish: Wish) -> tuple[bool, int, float, float]:
         state = agent.state
-        far = bool(wish.prefers) and (state is None or wish.prefers not in state.labels)
-        return far, *self.weight(agent)
+        lacks_preferred = bool(wish.prefers) and (state is None or wish.prefers not in state.labels)
+        return lacks_preferred, *self.rank(agent)
 
-    def weight(self, agent: AgentView) -> tuple[int, float, float]:
+    def rank(self, agent: AgentView) -> tuple[int, float, float]:
         """Sort key of agents: the faster first, then the less loaded, then at random."""
         slowness = round(max(agent.slowness, 1.0) / SLOWNESS_STEP)
         capacity = _capacity_of(agent)
--- a/src/gentianmux/leased/health.py
+++ b/src/gentianmux/leased/health.py
@@ -4,23 +4,23 @@
 
 from .room import Room
 
-FAILED_IN_A_ROW = 4
+EJECT_AFTER_FAILURES = 4
 """Consecutive failed runs of different jobs after which an endpoint is ejected. A job that can
 never be done fails on one endpoint once."""
 
-STALLS = 2
+EJECT_AFTER_STALLS = 2
 """Runs stalled at the same time after which an endpoint is ejected; one may be the task's fault."""
 
-FIRST_EJECTION_S = 1.0
+MIN_EJECTION_S = 1.0
 """Length of the first ejection in seconds."""
 
-LONGEST_EJECTION_S = 4.0
+MAX_EJECTION_S = 4.0
 """Bound on the length of an ejection in seconds."""
 
-RECENT = 8
+SLOWNESS_SAMPLES = 8
 """Ended runs over which the slowness is averaged."""
 
-TRICKLE = 1
+TRIAL_RUNS = 1
 """Concurrent runs of an endpoint on trial."""
 
 
@@ -45,9 +45,9 @@
 
     def __init__(self) -> None:
         self._failed_jobs: set[str] = set()
-        self._ratios: deque[float] = deque(maxlen=RECENT)
-        self._until = 0.0
-        self._span_s = FIRST_EJECTION_S
+        self._ratios: deque[float] = deque(maxlen=SLOWNESS_SAMPLES)
+        self._ejected_until = 0.0
+        self._ejection_s = MIN_EJECTION_S
         self.on_trial = False
         self.ejections = 0
 
@@ -72,35 +72,35 @@
                 self._ratios.append(ratio)
             return
         self._failed_jobs.add(job)
-        if len(self._failed_jobs) >= FAILED_IN_A_ROW or self.on_trial:
+        if len(self._failed_jobs) >= EJECT_AFTER_FAILURES or self.on_trial:
             self.eject(now)
 
     def stalled(self, runs: int, now: float) -> None:
         """Record the number of runs that are stalled now."""
-        if runs >= STALLS or self.on_trial:
+        if runs >= EJECT_AFTER_STALLS or self.on_trial:
             self.eject(now)
 
     def eject(self, now: float) -> None:
         """Offer nothing of the endpoint for a while, longer each time."""
         if self.is_ejected(now):
             return
-        self._until = now + self._span_s
-        self._span_s = min(LONGEST_EJECTION_S, self._span_s * 1.5)
+        self._ejected_until = now + self._ejection_s
+        self._ejection_s = min(MAX_EJECTION_S, self._ejection_s * 1.5)
         self._failed_jobs.clear()
         self.on_trial = True
         self.ejections += 1
 
     def _recovered(self) -> None:
         self.on_trial = False
-        self._span_s = FIRST_EJECTION_S
+        self._ejection_s = MIN_EJECTION_S
 
     def is_ejected(self, now: float) -> bool:
         """Whether nothing of the endpoint is offered at present."""
-        return now < self._until
+        return now < self._ejected_until
 
     def offered(self, free: Room, running: int, now: float) -> Room:
         """Return the part of the free resources that may be used."""
-        if self.is_ejected(now) or (self.on_trial and running >= TRICKLE):
+        if self.is_ejected(now) or (self.on_trial and running >= TRIAL_RUNS):
             return Room()
         return free
 
--- a/src/gentianmux/leased/job_state.py
+++ b/src/gentianmux/leased/job_state.py
@@ -9,20 +9,20 @@
 from .payloads import pack
 from .room import NO_ROOM, Room
 
-FIRST_RUN = 1
+FIRST_RUN_NUMBER = 1
 """Number of a task's first run."""
 
 USEFUL_FOR = 3.0
 """Multiple of its latency objective up to which an answer is of use to its caller; from the users'
 pages."""
 
-USEFUL_MARGIN = 0.7
+USEFUL_MARGIN_RATIO = 0.7
 """Part of that time which may be planned, since estimates are up to 40 % too high."""
 
-TASK_BYTES = 120
+TASK_OVERHEAD_BYTES = 120
 """Encoded bytes of a task in an assignment, beside its payload."""
 
-OLD_RUN_STEP = 8
+OLD_RUN_INCREMENT = 8
 """Increment of a run's number when an endpoint knows a newer one, from an earlier submission."""
 
 
@@ -30,7 +30,7 @@
     """Phase of a task."""
 
     WAITING = "waiting"
-    OUT = "out"
+    ASSIGNED = "assigned"
     DONE = "done"
 
 
@@ -71,7 +71,7 @@
     name: str
     step: int
     phase: Phase = Phase.WAITING
-    run: int = FIRST_RUN - 1
+    run: int = FIRST_RUN_NUMBER - 1
     agent: str = ""
     life: str = ""
     failures: int = 0
@@ -79,7 +79,7 @@
     avoid: set[str] = field(default_factory=set)
 
 
-class Waiting(NamedTuple):
+class JobDemand(NamedTuple):
     """Resources that the ready tasks of a job need: all of them, and the smallest."""
 
     total: Room
@@ -119,7 +119,7 @@
         Cores that all its tasks need together.
     payload : bytes
         The encoded payload.
-    bytes_a_task : int
+    bytes_per_task : int
         Bytes on the link that a task accounts for: the payload is sent once to each endpoint, which
         gets two tasks or more.
     may_have_run : bool
@@ -131,17 +131,17 @@
     def __init__(self, spec: JobSpec, queue: QueueRules, now: float, deadline: float) -> None:
         self.spec = spec
         self.queue = queue
-        self.arrived = now
+        self.arrived_at = now
         self.deadline = deadline
-        self.chain_s = longest_chain_s(spec)
-        self.objective_s = queue.stretch * self.chain_s + queue.target_ms / 1000
-        self.latest_start = now + self.objective_s - self.chain_s
-        useful_s = USEFUL_MARGIN * USEFUL_FOR * self.objective_s
-        self.last_useful_start = now + useful_s - self.chain_s
+        self.critical_path_s = estimate_critical_path_s(spec)
+        self.objective_s = queue.stretch * self.critical_path_s + queue.target_ms / 1000
+        self.latest_start = now + self.objective_s - self.critical_path_s
+        useful_s = USEFUL_MARGIN_RATIO * USEFUL_FOR * self.objective_s
+        self.last_useful_start = now + useful_s - self.critical_path_s
         self.work_cpu_s = sum(s.tasks * s.need.cpu * s.estimate_ms for s in spec.steps) / 1e6
         self.cpu = sum(s.tasks * s.need.cpu for s in spec.steps) / 1000
         self.payload = pack(spec.payload)
-        self.bytes_a_task = len(self.payload) // 2 + TASK_BYTES
+        self.bytes_per_task = len(self.payload) // 2 + TASK_OVERHEAD_BYTES
         self.began = False
         self.prospect = Prospect.OPEN
         self.may_have_run = False
@@ -151,83 +151,83 @@
             for index in range(step.tasks):
                 name = f"{spec.job_id}.0.{number}.{index}"
                 self.tasks[name] = TaskState(name, number)
-        self._left = len(self.tasks)
+        self._unfinished = len(self.tasks)
         self._ready: list[TaskState] | None = None
-        self._waiting: Waiting | None = None
+        self._demand: JobDemand | None = None
 
     def step_of(self, task: TaskState) -> StepSpec:
         """The step that a task belongs to."""
         return self.spec.steps[task.step]
 
-    def ready(self) -> list[TaskState]:
+    def ready_tasks(self) -> list[TaskState]:
         """Waiting tasks whose earlier steps are done."""
         if self._ready is None:
-            open_steps = {t.step for t in self.tasks.values() if t.phase is not Phase.DONE}
-            free_steps = {
+            unfinished_steps = {t.step for t in self.tasks.values() if t.phase is not Phase.DONE}
+            ready_steps = {
                 number
                 for number, step in enumerate(self.spec.steps)
-                if not open_steps.intersection(step.after)
+                if not unfinished_steps.intersection(step.after)
             }
             self._ready = [
                 task
                 for task in self.tasks.values()
-                if task.phase is Phase.WAITING and task.step in free_steps
+                if task.phase is Phase.WAITING and task.step in ready_steps
             ]
         return self._ready
 
     @property
-    def waiting(self) -> Waiting:
+    def demand(self) -> JobDemand:
         """Resources that the ready tasks need."""
-        if self._waiting is None:
-            needs = [self.step_of(task).need for task in self.ready()]
+        if self._demand is None:
+            needs = [self.step_of(task).need for task in self.ready_tasks()]
             total = Room(*map(sum, zip(*needs, strict=True))) if needs else NO_ROOM
-            self._waiting = Waiting(total, min(needs, default=NO_ROOM))
-        return self._waiting
+            self._demand = JobDemand(total, min(needs, default=NO_ROOM))
+        return self._demand
 
-    def _changed(self) -> None:
+    def _invalidate(self) -> None:
         self._ready = None
-        self._waiting = None
+        self._demand = None
 
-    def out(self) -> list[TaskState]:
+    def assigned_tasks(self) -> list[TaskState]:
         """Tasks that are assigned to an agent."""
-        return [task for task in self.tasks.values() if task.phase is Phase.OUT]
+        return [task for task in self.tasks.values() if task.phase is Phase.ASSIGNED]
 
     def full_endpoints(self, task: TaskState) -> frozenset[str]:
         """Endpoint incarnations that may get no more tasks of a task's step."""
-        most = self.step_of(task).max_per_endpoint
-        if not most:
+        limit = self.step_of(task).max_per_endpoint
+        if not limit:
             return frozenset()
         held = Counter(
-            t.life for t in self.tasks.values() if t.step == task.step and t.phase is Phase.OUT
+            t.life for t in self.tasks.values() if t.step == task.step and t.phase is Phase.ASSIGNED
         )
-        return frozenset(life for life, count in held.items() if count >= most)
+        return frozenset(life for life, count in held.items() if count >= limit)
 
     def assign(self, task: TaskState, agent: str, life: str, now: float) -> int:
         """Assign a task to an agent and return the number of its run."""
-        task.phase = Phase.OUT
+        task.phase = Phase.ASSIGNED
         task.run += 1
         task.agent = agent
         task.life = life
         task.sent_at = now
         self.began = True
-        self._changed()
+        self._invalidate()
         return task.run
 
-    def ended(self, name: str, run: int, how: How) -> bool:
+    def end_run(self, name: str, run: int, how: How) -> bool:
         """Record how a run ended; False when the run is not, or no longer, assigned."""
         task = self.tasks.get(name)
-        if task is None or task.phase is not Phase.OUT or task.run != run:
+        if task is None or task.phase is not Phase.ASSIGNED or task.run != run:
             return False
         if not how.never_ran:
             self.may_have_run = True
-        self._changed()
+        self._invalidate()
         if how is How.DONE:
             task.phase = Phase.DONE
-            self._left -= 1
+            self._unfinished -= 1
             return True
         task.phase = Phase.WAITING
         if how is How.OLD_RUN:
-            task.run += OLD_RUN_STEP
+            task.run += OLD_RUN_INCREMENT
         elif how not in (How.NO_ROOM, How.DRAINING):
             task.avoid.add(task.life)
         if how is How.FAILED:
@@ -238,18 +238,20 @@
     @property
     def is_done(self) -> bool:
         """Whether every task is done."""
-        return not self._left
+        return not self._unfinished
 
     @property
     def proved_not_run(self) -> bool:
         """Whether no run of the job has started, and none is assigned."""
-        return not self.may_have_run and not self.out()
+        return not self.may_have_run and not self.assigned_tasks()
 
 
-def longest_chain_s(spec: JobSpec) -> float:
+def estimate_critical_path_s(spec: JobSpec) -> float:
     """Estimated run time of a job's critical path, in seconds."""
-    ends: list[int] = []
+    end_times_ms: list[int] = []
     for step in spec.steps:
-        earlier = max((ends[number] for number in step.after if number < len(ends)), default=0)
-        ends.append(earlier + step.estimate_ms)
-    return max(ends, default=0) / 1000
+        start_ms = max(
+            (end_times_ms[number] for number in step.after if number < len(end_times_ms)), default=0
+        )
+        end_times_ms.append(start_ms + step.estimate_ms)
+    return max(end_times_ms, default=0) / 1000
--- a/src/gentianmux/leased/payloads.py
+++ b/src/gentianmux/leased/payloads.py
@@ -2,16 +2,16 @@
 
 import zlib
 
-PACK_FROM_BYTES = 400
+MIN_COMPRESSED_BYTES = 400
 """Payloads below this size are not compressed: header and tables outweigh the gain."""
 
-LEVEL = 1
+COMPRESSION_LEVEL = 1
 """The fastest level; higher ones hardly compress such payloads better."""
 
-LONGEST_BYTES = 1024 * 1024
+MAX_PAYLOAD_BYTES = 1024 * 1024
 """Bound on a decoded payload; callers may send far less."""
 
-PLAIN, PACKED = b"\0", b"\1"
+RAW, COMPRESSED = b"\0", b"\1"
 
 
 def pack(payload: str) -> bytes:
@@ -23,10 +23,10 @@
     ('weigh', True)
     """
     raw = payload.encode()
-    if len(raw) < PACK_FROM_BYTES:
-        return PLAIN + raw
-    packed = zlib.compress(raw, LEVEL)
-    return PACKED + packed if len(packed) < len(raw) else PLAIN + raw
+    if len(raw) < MIN_COMPRESSED_BYTES:
+        return RAW + raw
+    compressed = zlib.compress(raw, COMPRESSION_LEVEL)
+    return COMPRESSED + compressed if len(compressed) < len(raw) else RAW + raw
 
 
 def unpack(data: bytes) -> str:
@@ -38,16 +38,16 @@
         When the bytes are malformed or the payload is too long; the connection to the sender is
         then closed.
     """
-    kind, body = data[:1], data[1:]
-    if kind == PLAIN:
+    encoding, body = data[:1], data[1:]
+    if encoding == RAW:
         return body.decode("utf-8", "replace")
-    if kind != PACKED:
-        raise ValueError(f"payload has unknown encoding {kind!r}")
-    unpacking = zlib.decompressobj()
+    if encoding != COMPRESSED:
+        raise ValueError(f"payload has unknown encoding {encoding!r}")
+    decompressor = zlib.decompressobj()
     try:
-        raw = unpacking.decompress(body, LONGEST_BYTES)
+        raw = decompressor.decompress(body, MAX_PAYLOAD_BYTES)
     except zlib.error as exc:
         raise ValueError(f"payload cannot be decompressed: {exc}") from exc
-    if not unpacking.eof:
+    if not decompressor.eof:
         raise ValueError("payload is truncated or too long")
     return raw.decode("utf-8", "replace")
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -10,12 +10,12 @@
 from .claiming import signature
 from .entry_board import EntryBoard
 from .fleet_view import AgentView, Wish
-from .job_state import TASK_BYTES, JobState, TaskState
+from .job_state import TASK_OVERHEAD_BYTES, JobState, TaskState
 from .model import How
 from .room import NO_ROOM, Room
 from .run_ends import RunEnds
 
-CLAIM_AGAIN_S = 0.02
+CLAIM_INTERVAL_S = 0.02
 """Least seconds between two rounds of sending changed claims to all agents."""
 
 
@@ -31,33 +31,33 @@
     ----------
     board : EntryBoard
         Jobs and agents of the entry.
-    ends : RunEnds
+    completions : RunEnds
         Takes back runs that could not be sent.
     admissions : dict
         Admission policy of each service, notified when a job begins.
 
     Examples
     --------
-    ``placing.soon()`` when resources or jobs have arrived; ``placing.place()`` at once.
+    ``placer.place_soon()`` when resources or jobs have arrived; ``placer.place()`` at once.
     """
 
     def __init__(
-        self, board: EntryBoard, ends: RunEnds, admissions: defaultdict[str, Admission]
+        self, board: EntryBoard, completions: RunEnds, admissions: defaultdict[str, Admission]
     ) -> None:
         self._board = board
-        self._ends = ends
+        self._completions = completions
         self._admissions = admissions
-        self._planned = False
-        self._claims_told_at = 0.0
+        self._is_scheduled = False
+        self._claims_sent_at = 0.0
 
-    def soon(self) -> None:
+    def place_soon(self) -> None:
         """Place after the current event has been handled."""
-        if self._board.backlog and not self._planned:
-            self._planned = True
-            self._board.clock.soon(self._place_planned)
+        if self._board.backlog and not self._is_scheduled:
+            self._is_scheduled = True
+            self._board.clock.soon(self._place_scheduled)
 
-    def _place_planned(self) -> None:
-        self._planned = False
+    def _place_scheduled(self) -> None:
+        self._is_scheduled = False
         self.place()
 
     def place(self) -> None:
@@ -67,49 +67,51 @@
         would otherwise stay idle.
         """
         now = self._board.clock.now()
-        shares: dict[str, list[LeasedTask]] = defaultdict(list)
+        assignments: dict[str, list[LeasedTask]] = defaultdict(list)
         for service in self._board.backlog.services():
-            self._place_service(service, shares, now)
-        for process, tasks in shares.items():
+            self._place_service(service, assignments, now)
+        for process, tasks in assignments.items():
             self._assign(process, tasks)
-        self._give_back()
-        self._tell_claims(now)
+        self._return_unused()
+        self._send_claims(now)
 
-    def _place_service(self, service: str, shares: dict[str, list[LeasedTask]], now: float) -> None:
+    def _place_service(
+        self, service: str, assignments: dict[str, list[LeasedTask]], now: float
+    ) -> None:
         view = self._board.view
         candidates = Candidates(view, view.willing(service, now))
         too_large: Room | None = None
-        planned = 0
-        for job in self._board.backlog.of(service) if len(candidates) else ():
-            if planned >= self._board.window.left():
-                self._board.window.hold_back(now)
+        planned_bytes = 0
+        for job in self._board.backlog.jobs_of(service) if len(candidates) else ():
+            if planned_bytes >= self._board.window.available_bytes():
+                self._board.window.record_blocked(now)
                 break
-            need = job.waiting.least
-            if now >= job.deadline or not job.ready():
+            need = job.demand.least
+            if now >= job.deadline or not job.ready_tasks():
                 continue
             if too_large is not None and need.fits(too_large):
                 continue
-            before = len(job.ready())
-            placed = self._place_job(job, candidates, shares, now)
-            planned += (before - len(job.ready())) * job.bytes_a_task
-            if not placed and not candidates.has_room(need):
+            before = len(job.ready_tasks())
+            placed = self._place_job(job, candidates, assignments, now)
+            planned_bytes += (before - len(job.ready_tasks())) * job.bytes_per_task
+            if not placed and not candidates.has_resources(need):
                 too_large = need
-                if candidates.most_cpu < self._board.backlog.least_cpu(service):
+                if candidates.max_free_cpu < self._board.backlog.least_cpu(service):
                     break
 
     def _place_job(
         self,
         job: JobState,
         candidates: Candidates,
-        shares: dict[str, list[LeasedTask]],
+        assignments: dict[str, list[LeasedTask]],
         now: float,
     ) -> bool:
         """Place the ready tasks of a job; False when the resources did not suffice for all."""
         chosen: Counter[str] = Counter()
         began = job.began
-        placed = self._place_tasks(job, candidates, shares, chosen, now)
+        placed = self._place_tasks(job, candidates, assignments, chosen, now)
         if chosen and not began:
-            self._admissions[job.queue.service].begins(job, now)
+            self._admissions[job.queue.service].record_begin(job, now)
         if chosen:
             oldest = min(self._board.view.of(process).heard_at for process in chosen)
             logger.bind(
@@ -117,11 +119,11 @@
                 agents=dict(chosen),
                 with_room=len(candidates),
                 load_age_ms=round((now - oldest) * 1000, 1),
-                waited_ms=round((now - job.arrived) * 1000, 1),
+                waited_ms=round((now - job.arrived_at) * 1000, 1),
                 config_version=self._board.feed.version,
             ).info("runs placed")
         if placed:
-            self._board.backlog.drop(job)
+            self._board.backlog.discard(job)
         elif chosen:
             # Jobs that have begun precede those that have not.
             self._board.backlog.put(job)
@@ -131,42 +133,42 @@
         self,
         job: JobState,
         candidates: Candidates,
-        shares: dict[str, list[LeasedTask]],
+        assignments: dict[str, list[LeasedTask]],
         chosen: Counter[str],
         now: float,
     ) -> bool:
-        together = 0
-        for task in job.ready():
-            wish = self._wish(job, task, now)
-            agent = candidates.take_again(wish) if 0 < together < TOGETHER else None
-            together = together + 1 if agent is not None else 1
+        colocated = 0
+        for task in job.ready_tasks():
+            wish = self._request_for(job, task, now)
+            agent = candidates.take_last(wish) if 0 < colocated < TOGETHER else None
+            colocated = colocated + 1 if agent is not None else 1
             agent = agent or candidates.take(wish)
             if agent is None or agent.state is None:
                 return False
             run = job.assign(task, agent.process, agent.state.life, now)
             step = job.step_of(task)
-            number = agent.assigned + 1
+            number = agent.last_assigned_number + 1
             agent.reserve(number, step.need)
-            self._board.out[agent.process][(task.name, run)] = job
-            shares[agent.process].append(
+            self._board.assigned_runs[agent.process][(task.name, run)] = job
+            assignments[agent.process].append(
                 LeasedTask(task.name, run, 0, *step.need, step.estimate_ms)
             )
             chosen[agent.process] += 1
         return True
 
-    def _wish(self, job: JobState, task: TaskState, now: float) -> Wish:
+    def _request_for(self, job: JobState, task: TaskState, now: float) -> Wish:
         step = job.step_of(task)
         return Wish(
             job.queue.service,
             step.need,
             step.requires,
             step.prefers,
-            self._avoided(job, task, now) if task.avoid else frozenset(),
+            self._avoided_incarnations(job, task, now) if task.avoid else frozenset(),
             job.full_endpoints(task),
             step.estimate_ms,
         )
 
-    def _avoided(self, job: JobState, task: TaskState, now: float) -> frozenset[str]:
+    def _avoided_incarnations(self, job: JobState, task: TaskState, now: float) -> frozenset[str]:
         """Endpoint incarnations that a task avoids; none when no others serve its service."""
         willing = self._board.view.willing(job.queue.service, now)
         others = any(a.state is not None and a.state.life not in task.avoid for a in willing)
@@ -174,31 +176,31 @@
 
     def _assign(self, process: str, tasks: list[LeasedTask]) -> None:
         agent = self._board.view.of(process)
-        agent.assigned += 1
+        agent.last_assigned_number += 1
         self._board.metrics.count("runs_assigned", len(tasks))
         claims = [] if agent.state is None else self._board.claims(agent.state.service)
-        agent.told = signature(claims)
-        agent.echoed()
+        agent.sent_signature = signature(claims)
+        agent.mark_echoed()
         tasks, payloads = self._with_payloads(process, tasks)
-        msg = Assign(agent.newest_load, agent.assigned, tasks, claims, payloads)
+        msg = Assign(agent.newest_load, agent.last_assigned_number, tasks, claims, payloads)
         sent = self._board.links.send(process, msg)
         if sent:
-            size = sum(map(len, payloads)) + len(tasks) * TASK_BYTES
+            size = sum(map(len, payloads)) + len(tasks) * TASK_OVERHEAD_BYTES
             self._board.window.sent(process, msg.number, size, self._board.clock.now())
         else:
             for task in tasks:
-                self._ends.take(process, task.name, task.run, How.NOT_STARTED)
+                self._completions.record_end(process, task.name, task.run, How.NOT_STARTED)
 
     def _with_payloads(
         self, process: str, tasks: list[LeasedTask]
     ) -> tuple[list[LeasedTask], list[bytes]]:
         """Return the tasks with the numbers of their payloads, and each job's payload once."""
-        out = self._board.out[process]
+        assigned_runs = self._board.assigned_runs[process]
         numbers: dict[str, int] = {}
         numbered = []
         payloads: list[bytes] = []
         for task in tasks:
-            job = out[task.name, task.run]
+            job = assigned_runs[task.name, task.run]
             job_id = job.spec.job_id
             if job_id not in numbers:
                 numbers[job_id] = len(payloads)
@@ -206,27 +208,27 @@
             numbered.append(task._replace(payload=numbers[job_id]))
         return numbered, payloads
 
-    def _tell_claims(self, now: float) -> None:
+    def _send_claims(self, now: float) -> None:
         """Send claims to all agents when tasks of another urgency class start to wait."""
-        if not self._board.backlog or now - self._claims_told_at < CLAIM_AGAIN_S:
+        if not self._board.backlog or now - self._claims_sent_at < CLAIM_INTERVAL_S:
             return
-        self._claims_told_at = now
+        self._claims_sent_at = now
         for service in self._board.backlog.services():
-            wanted = signature(self._board.claims(service))
+            current = signature(self._board.claims(service))
             for agent in self._board.view.serving(service, now):
-                if agent.told != wanted:
+                if agent.sent_signature != current:
                     self._board.echo(agent)
 
-    def _give_back(self) -> None:
+    def _return_unused(self) -> None:
         """Return granted resources that no waiting task fits into.
 
         Kept until the grants expire, they would be idle while other entries wait for them.
         """
         for agent in self._board.view.agents.values():
-            if agent.told and agent.free.cpu > 0 and not self._is_of_use(agent):
+            if agent.sent_signature and agent.free.cpu > 0 and not self._is_useful(agent):
                 agent.offer(NO_ROOM)
                 self._board.echo(agent, gives_back=True)
 
-    def _is_of_use(self, agent: AgentView) -> bool:
+    def _is_useful(self, agent: AgentView) -> bool:
         claims = [] if agent.state is None else self._board.claims(agent.state.service)
         return any(claim.least_cpu <= agent.free.cpu for claim in claims)
--- a/src/gentianmux/leased/progress.py
+++ b/src/gentianmux/leased/progress.py
@@ -10,7 +10,7 @@
 """Ratio of its projected run time to its estimate from which a run counts as slow. Estimates are
 off by up to 40 % either way, so twice the estimate is ordinary."""
 
-LEAST_SEEN_S = 0.12
+MIN_ELAPSED_S = 0.12
 """Seconds of a run before its rate is used: one report of progress, which is rounded."""
 
 
@@ -43,9 +43,9 @@
         return now - since > STALL_S and self.percent < 100
 
     def heading_for_ms(self, now: float) -> float | None:
-        """Projected run time in ms; None in the first ``LEAST_SEEN_S``."""
+        """Projected run time in ms; None in the first ``MIN_ELAPSED_S``."""
         elapsed = now - self.began
-        if elapsed < LEAST_SEEN_S:
+        if elapsed < MIN_ELAPSED_S:
             return None
         done = max(self.percent, 0.5) / 100
         return elapsed * 1000 / done
--- a/src/gentianmux/leased/run_ends.py
+++ b/src/gentianmux/leased/run_ends.py
@@ -8,7 +8,7 @@
 from .model import How, node_of
 from .ticket import Verdict
 
-REFUSED_PAUSE_S = 0.05
+REFUSAL_BACKOFF_S = 0.05
 """Seconds without new runs for an agent that refused one for another reason than resources."""
 
 
@@ -30,7 +30,7 @@
         self.opened_at: dict[str, float] = {}
         self._board = board
 
-    def compare(self, msg: Holding, agent: str) -> None:
+    def reconcile(self, msg: Holding, agent: str) -> None:
         """Compare the runs that an agent holds with those assigned to it, after a reconnect.
 
         A run that it does not hold may have been lost with a connection, or may still be in flight
@@ -40,46 +40,46 @@
         opened_at = self.opened_at.get(agent, 0.0)
         missing = [
             (name, run)
-            for (name, run), job in self._board.out[agent].items()
+            for (name, run), job in self._board.assigned_runs[agent].items()
             if (name, run) not in held and job.tasks[name].sent_at < opened_at
         ]
         # Their withdrawal may have been lost with the connection, and their tasks run elsewhere.
-        unwanted = [key for key in held if key not in self._board.out[agent]]
+        unwanted = [key for key in held if key not in self._board.assigned_runs[agent]]
         if missing or unwanted:
             refs = [RunRef(*key) for key in sorted([*missing, *unwanted])]
             self._board.links.send(agent, Withdraw(refs))
 
-    def take(self, agent: str, name: str, run: int, how: How) -> None:
+    def record_end(self, agent: str, name: str, run: int, how: How) -> None:
         """Record how a run of an agent ended."""
-        job = self._board.out[agent].pop((name, run), None)
-        if job is None or not job.ended(name, run, how):
+        job = self._board.assigned_runs[agent].pop((name, run), None)
+        if job is None or not job.end_run(name, run, how):
             self._board.metrics.count("late_ends", label=how.name.lower())
             return
         self._board.metrics.count("runs_back", label=how.name.lower())
         if how in (How.NOT_STARTED, How.DRAINING):
-            self._board.view.of(agent).failed_until = self._board.clock.now() + REFUSED_PAUSE_S
+            self._board.view.of(agent).backoff_until = self._board.clock.now() + REFUSAL_BACKOFF_S
         if how not in (How.DONE, How.NO_ROOM):
             logger.bind(task=name, run=run, peer=agent, how=how.name.lower()).info("run came back")
         if job.failed:
             self._board.finish(job, Verdict(Outcome.FAILED, f"{name} failed too often"))
         elif job.is_done:
             self._board.finish(job, Verdict(Outcome.COMPLETED, "every task is done"))
-        elif job.ready() and job.spec.job_id in self._board.jobs:
+        elif job.ready_tasks() and job.spec.job_id in self._board.jobs:
             self._board.backlog.put(job)
 
-    def lose_earlier_lives(self, agent: str) -> None:
+    def lose_earlier_processes(self, agent: str) -> None:
         """End the runs of earlier processes of an agent's instance, which the agent has stopped."""
         for process in list(self._board.view.agents):
             if process != agent and node_of(process) == node_of(agent):
-                self.lose(process, "a later process of the agent is at work")
+                self.lose_process(process, "a later process of the agent is at work")
 
-    def lose(self, process: str, reason: str) -> None:
+    def lose_process(self, process: str, reason: str) -> None:
         """End all runs of an agent's process, of which none can be at work any more."""
-        self._board.view.forget(process)
-        held = list(self._board.out[process])
+        self._board.view.remove_agent(process)
+        held = list(self._board.assigned_runs[process])
         if held:
             logger.bind(peer=process, runs=len(held), reason=reason).warning("runs lost")
         for name, run in held:
-            self.take(process, name, run, How.LOST)
-        self._board.out.pop(process, None)
+            self.record_end(process, name, run, How.LOST)
+        self._board.assigned_runs.pop(process, None)
         self.opened_at.pop(process, None)
--- a/src/gentianmux/leased/withdrawn.py
+++ b/src/gentianmux/leased/withdrawn.py
@@ -2,7 +2,7 @@
 
 from .run_table import RunKey
 
-KEPT_S = 10.0
+RETENTION_S = 10.0
 """Seconds for which a withdrawal is kept; longer than an assignment can be delayed on a replaced
 connection or by a paused process."""
 
@@ -31,7 +31,7 @@
                 break
             del self._until[known]
         self._until.pop((entry, key), None)
-        self._until[entry, key] = now + KEPT_S
+        self._until[entry, key] = now + RETENTION_S
 
     def holds(self, entry: str, key: RunKey) -> bool:
         """Whether an entry has withdrawn a run."""
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -28,11 +28,11 @@
 
 def change(one: JobState, rng: Random) -> None:
     """Assign a task of a job, return it, or decide the job."""
-    if one.ready() and rng.random() < 0.5:
-        one.assign(one.ready()[0], "w0", "x0", 1.0)
-    elif one.out():
-        task = one.out()[0]
-        one.ended(task.name, task.run, How.NO_ROOM)
+    if one.ready_tasks() and rng.random() < 0.5:
+        one.assign(one.ready_tasks()[0], "w0", "x0", 1.0)
+    elif one.assigned_tasks():
+        task = one.assigned_tasks()[0]
+        one.end_run(task.name, task.run, How.NO_ROOM)
     else:
         one.prospect = Prospect.LATE
 
@@ -40,14 +40,14 @@
 def assert_as_plain(backlog: Backlog, waiting: dict[str, JobState]) -> None:
     for service in "st":
         mine = [each for each in waiting.values() if each.queue.service == service]
-        assert [urgency(each) for each in backlog.of(service)] == sorted(map(urgency, mine))
-        assert {id(each) for each in backlog.of(service)} == set(map(id, mine))
+        assert [urgency(each) for each in backlog.jobs_of(service)] == sorted(map(urgency, mine))
+        assert {id(each) for each in backlog.jobs_of(service)} == set(map(id, mine))
         demands = backlog.demands(service)
-        kinds = sorted({urgency(each)[:3] for each in mine})
-        assert [demand.kind for demand in demands] == kinds
+        urgency_classes = sorted({urgency(each)[:3] for each in mine})
+        assert [demand.urgency_class for demand in demands] == urgency_classes
         for demand in demands:
-            alike = [each for each in mine if urgency(each)[:3] == demand.kind]
-            needs = [each.step_of(task).need for each in alike for task in each.ready()]
+            alike = [each for each in mine if urgency(each)[:3] == demand.urgency_class]
+            needs = [each.step_of(task).need for each in alike for task in each.ready_tasks()]
             assert demand.total.cpu == sum(need.cpu for need in needs)
             assert demand.total.mem_mb == sum(need.mem_mb for need in needs)
             assert demand.least_cpu == min(need.cpu for need in needs)
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_kept_order_and_demand_are_those_of_the_jobs(seed: int) -> None:
+def test_backlog_matches_sorted_jobs_and_summed_demand(seed: int) -> None:
     rng = Random(seed)
     backlog = Backlog()
     waiting: dict[str, JobState] = {}
@@ -65,14 +65,14 @@
             one = job(number, rng)
         elif rng.random() < 0.4:
             del waiting[one.spec.job_id]
-            backlog.drop(one)
-            backlog.drop(one)
+            backlog.discard(one)
+            backlog.discard(one)
             continue
         else:
             change(one, rng)
-        if not one.ready():
+        if not one.ready_tasks():
             waiting.pop(one.spec.job_id, None)
-            backlog.drop(one)
+            backlog.discard(one)
             continue
         waiting[one.spec.job_id] = one
         backlog.put(one)
@@ -91,12 +91,12 @@
     return view
 
 
-def weight_of(view: FleetView, agent: AgentView) -> tuple[int, float]:
-    return view.weight(agent)[:2]
+def rank_of(view: FleetView, agent: AgentView) -> tuple[int, float]:
+    return view.rank(agent)[:2]
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_the_best_agent_by_the_kept_order_is_the_best_of_all(seed: int) -> None:
+def test_candidates_choose_as_good_an_agent_as_full_search(seed: int) -> None:
     rng = Random(seed)
     view = fleet(rng)
     serving = view.willing("s", 1.0)
@@ -109,12 +109,12 @@
         assert (taken is None) == (best is None)
         if taken is None or best is None:
             continue
-        assert weight_of(view, taken) == weight_of(view, best)
+        assert rank_of(view, taken) == rank_of(view, best)
         assert taken.free.fits(wish.need) and taken.longest_ms >= 100
         taken.reserve(number + 1, wish.need)
 
 
-def test_room_is_counted_once_reserved_and_again_once_reported() -> None:
+def test_reserved_resources_are_deducted_until_reported() -> None:
     agent = AgentView("w0.1")
     agent.take_load(AgentLoad(1, 0, 8000, 100, 0, 100, 1, 1, 9000), 1.0)
     agent.reserve(1, Room(3000, 10))
@@ -126,7 +126,7 @@
     assert agent.free == Room(4000, 80)
 
 
-def test_a_job_costs_little_more_when_many_wait_or_the_fleet_is_large() -> None:
+def test_cost_of_a_job_hardly_grows_with_backlog_and_fleet() -> None:
     """Costs are CPU time of a job relative to a fixed piece of Python."""
     few, many = cost_of_a_job(60, 10), cost_of_a_job(60, 1000)
     assert many < 5 * few
--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -78,7 +78,7 @@
     print(f"served {ROUNDS * CALLERS}")
 
 
-def test_a_process_outlives_callers_that_are_refused_and_go_by_the_hundred() -> None:
+def test_process_survives_many_callers_refused_at_once() -> None:
     for later in ("", "later"):
         command = [sys.executable, __file__, later]
         found = subprocess.run(command, capture_output=True, text=True, timeout=60)
@@ -92,7 +92,7 @@
     return ticket
 
 
-def test_a_caller_that_closes_is_noticed_and_one_that_sends_more_is_not_taken_for_gone() -> None:
+def test_only_a_closed_connection_abandons_the_job() -> None:
     entry = RefusingEntry()
     ours, callers = gsocket.socketpair()
     ticket = waiting_on(ours, entry)
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -19,7 +19,7 @@
     return world
 
 
-def begun_in(world: World, domain: str) -> int:
+def active_runs_in(world: World, domain: str) -> int:
     """Number of active runs at the endpoints of a failure domain."""
     machines = (each for each in world.machines.values() if each.domain == domain)
     return sum(len(machine.endpoint.active) for machine in machines)
@@ -32,46 +32,46 @@
         world.run(0.05)
 
 
-def test_nothing_begins_in_an_evacuated_domain_and_what_runs_goes_on() -> None:
+def test_no_run_begins_in_an_evacuated_domain_and_active_runs_continue() -> None:
     world = ready_world()
     early = [world.submit("e0", tasks=6, run_s=1.5) for _ in range(4)]
     world.run(0.1)
-    before = begun_in(world, "fd1")
+    before = active_runs_in(world, "fd1")
     world.evacuate("fd1", readers=["e0", "e1"])
     keep_submitting(world, 0.5, ("e0", "e1"))
-    assert begun_in(world, "fd1") == before > 0
+    assert active_runs_in(world, "fd1") == before > 0
     world.run(3.0)
     assert world.breaches == []
     assert {job.ticket.verdict.outcome for job in world.asked} == {Outcome.COMPLETED}
     assert world.wasted_runs == 0 and len(early) == 4
 
 
-def test_two_domains_in_turn_are_used_again_when_they_are_taken_back() -> None:
+def test_domains_are_used_again_after_their_evacuation() -> None:
     world = ready_world()
     for domain in ("fd0", "fd1"):
         world.evacuate(domain, readers=["e0", "e1"])
         keep_submitting(world, 1.0, ("e0", "e1"))
-        assert begun_in(world, domain) == 0
+        assert active_runs_in(world, domain) == 0
         world.take_back(domain, readers=["e0", "e1"])
         keep_submitting(world, 0.1, ("e0", "e1"))
-        assert begun_in(world, domain) > 0
+        assert active_runs_in(world, domain) > 0
     assert world.breaches == []
 
 
-def test_an_entry_that_the_store_turns_away_hears_of_an_evacuation_from_agents() -> None:
+def test_an_entry_without_the_store_learns_of_evacuations_from_agents() -> None:
     world = ready_world()
     world.evacuate("fd2", readers=["e0"])
     world.run(0.02)
     keep_submitting(world, 0.6, ("e1",))
     assert world.breaches == []
-    assert begun_in(world, "fd2") == 0
+    assert active_runs_in(world, "fd2") == 0
     world.take_back("fd2", readers=["e0"])
     world.run(0.02)
     keep_submitting(world, 0.1, ("e1",))
-    assert begun_in(world, "fd2") > 0
+    assert active_runs_in(world, "fd2") > 0
 
 
-def test_agents_that_start_during_an_evacuation_begin_nothing_there() -> None:
+def test_agents_started_during_an_evacuation_begin_no_runs() -> None:
     world = ready_world()
     world.evacuate("fd1", readers=["e0", "e1"])
     world.run(0.1)
@@ -84,10 +84,10 @@
         assert machine.agent.is_accepting == (machine.domain != "fd1")
     keep_submitting(world, 1.0, ("e0", "e1"))
     assert world.breaches == []
-    assert begun_in(world, "fd1") == 0
+    assert active_runs_in(world, "fd1") == 0
 
 
-def test_an_entry_that_starts_during_an_evacuation_hears_of_it_from_agents() -> None:
+def test_an_entry_started_during_an_evacuation_learns_of_it_from_agents() -> None:
     world = ready_world()
     world.evacuate("fd1", readers=["e0", "e1"])
     world.run(0.1)
@@ -99,16 +99,16 @@
     assert feed_of_new is not None and feed_of_new.evacuations.covers("fd1")
     keep_submitting(world, 1.0, ("e0", "e1"))
     assert world.breaches == []
-    assert begun_in(world, "fd1") == 0
+    assert active_runs_in(world, "fd1") == 0
 
 
-def test_an_order_on_its_way_comes_back_at_once_and_goes_elsewhere() -> None:
+def test_an_assignment_in_flight_is_returned_and_placed_elsewhere() -> None:
     world = ready_world()
     machine = next(each for each in world.machines.values() if each.domain == "fd1")
     assert machine.agent is not None and machine.links is not None
     sent: list[object] = []
-    carry = machine.links.send
-    machine.links.send = lambda peer, msg: (sent.append(msg), carry(peer, msg))[1]  # type: ignore[method-assign]
+    forward = machine.links.send
+    machine.links.send = lambda peer, msg: (sent.append(msg), forward(peer, msg))[1]  # type: ignore[method-assign]
     jobs = [world.submit("e0", tasks=6, run_s=0.2) for _ in range(3)]
     # The agents learn of the evacuation while the assignments are in flight.
     world.store.put("config", "evacuate/fd1", b"{}")
@@ -118,11 +118,11 @@
     world.run(1.0)
     rows = [row for msg in sent if isinstance(msg, EndedRuns) for row in msg.runs]
     assert rows and {How(row.how) for row in rows} == {How.DRAINING}
-    assert begun_in(world, "fd1") == 0
+    assert active_runs_in(world, "fd1") == 0
     assert {job.ticket.verdict.outcome for job in jobs} == {Outcome.COMPLETED}
 
 
-def test_a_run_taken_on_right_before_the_evacuation_is_not_started() -> None:
+def test_a_run_accepted_right_before_the_evacuation_is_not_started() -> None:
     world = ready_world(agents=1, entries=1)
     world.submit("e0", tasks=2, run_s=0.2)
     world.run(0.0006)
@@ -134,7 +134,7 @@
     assert agent.table.runs == {}
 
 
-def test_with_every_domain_evacuated_callers_get_a_true_answer_at_once() -> None:
+def test_jobs_are_refused_at_once_when_every_domain_is_evacuated() -> None:
     world = ready_world()
     for domain in ("fd0", "fd1", "fd2"):
         world.evacuate(domain, readers=["e0", "e1"])
@@ -160,7 +160,7 @@
     assert view.capacity_cpu("s", world.time) == expected + 16.0
 
 
-def test_an_entry_places_nothing_there_before_agents_have_heard_of_it() -> None:
+def test_an_entry_places_nothing_there_before_agents_know_of_it() -> None:
     world = ready_world(entries=1)
     view = world.entries["e0"].view
     assert view is not None
@@ -174,14 +174,14 @@
 
 
 @pytest.mark.parametrize("position", [3, 7])
-def test_an_account_that_is_no_newer_changes_nothing(position: int) -> None:
+def test_an_update_that_is_not_newer_changes_nothing(position: int) -> None:
     known = feed()
     known.offered(Evacuations(7, ("fd1",)), "peer")
     known.offered(Evacuations(position, ()), "peer")
     assert known.current == Evacuations(7, ("fd1",))
 
 
-def test_a_store_that_lags_behind_a_peer_does_not_bring_an_evacuation_back() -> None:
+def test_a_store_that_lags_behind_a_peer_restores_no_evacuation() -> None:
     known = feed()
     known.read_all(["fd1"], 4)
     known.offered(Evacuations(6, ("fd2",)), "peer")
@@ -191,7 +191,7 @@
     assert known.current == Evacuations(7, ("fd2",))
 
 
-def test_a_lost_history_ends_no_evacuation_and_a_deleted_record_does() -> None:
+def test_only_a_deleted_record_ends_an_evacuation() -> None:
     known = feed()
     known.read_all(["fd1"], 4)
     known.read_all(["fd1"], 90)
--- a/tests/test_late_orders.py
+++ b/tests/test_late_orders.py
@@ -14,7 +14,7 @@
 from gentianmux.messages import Assign, Message
 
 
-def order_kept_on_its_way(world: World, tasks: int) -> tuple[Asked, Callable[[], None]]:
+def delayed_assignment(world: World, tasks: int) -> tuple[Asked, Callable[[], None]]:
     """Submit a job whose first assignment is delayed on a connection that is then replaced.
 
     Returns the job, and a function that delivers the assignment.
@@ -22,11 +22,11 @@
     entry, agent = world.process_of("e0"), world.process_of("w0")
     links = world.entries["e0"].links
     assert links is not None
-    kept: list[Message] = []
+    delayed: list[Message] = []
 
     def send(process: str, msg: Message) -> bool:
-        if process == agent and isinstance(msg, Assign) and not kept:
-            kept.append(msg)
+        if process == agent and isinstance(msg, Assign) and not delayed:
+            delayed.append(msg)
             return True
         return type(links).send(links, process, msg)
 
@@ -34,31 +34,31 @@
         patch.setattr(links, "send", send)
         job = world.submit("e0", tasks=tasks, run_s=0.3)
         world.run(0.02)
-    assert kept
+    assert delayed
 
-    def arrive() -> None:
+    def deliver() -> None:
         machine = world.machines["w0"]
         assert machine.agent is not None
-        machine.agent.on_message(kept[0], entry)
+        machine.agent.on_message(delayed[0], entry)
 
-    return job, arrive
+    return job, deliver
 
 
-def test_an_order_that_arrives_by_a_replaced_connection_begins_no_second_run() -> None:
+def test_assignment_on_a_replaced_connection_starts_no_second_run() -> None:
     for after_s in (0.0, 0.001, 0.004, 0.06, 0.15, 0.3):
         world = ready_world(agents=2)
-        job, arrive = order_kept_on_its_way(world, tasks=6)
+        job, deliver = delayed_assignment(world, tasks=6)
         world.reopen(world.process_of("w0"), world.process_of("e0"))
         world.run(after_s)
-        arrive()
+        deliver()
         world.run(2.0)
         assert outcome(job) is Outcome.COMPLETED
         assert_kept(world)
 
 
-def test_an_order_that_was_lost_with_its_connection_is_made_up_for_at_once() -> None:
+def test_assignment_lost_with_its_connection_is_repeated_at_once() -> None:
     world = ready_world(agents=2)
-    job, _ = order_kept_on_its_way(world, tasks=6)
+    job, _ = delayed_assignment(world, tasks=6)
     world.reopen(world.process_of("w0"), world.process_of("e0"))
     world.run(0.5)
     assert outcome(job) is Outcome.COMPLETED
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -8,20 +8,20 @@
 from hypothesis import strategies as st
 
 from gentianmux.leased.admission import (
-    DECIDE_SHARE,
+    DECISION_RATIO,
+    LATE_PAUSE_S,
     LEAST_SEEN_S,
-    MISTAKE_PAUSE_S,
     OVERTAKING,
     Admission,
-    Arrivals,
     Decision,
     Load,
+    WorkRate,
     retry_after_s,
     urgency,
 )
 from gentianmux.leased.chain import CHAIN_S, AgentSide, surely_over
-from gentianmux.leased.fleet_view import LOOKED_AT, FleetView, Wish
-from gentianmux.leased.health import FAILED_IN_A_ROW, EndpointHealth
+from gentianmux.leased.fleet_view import MAX_AGENTS_PER_ROUND, FleetView, Wish
+from gentianmux.leased.health import EJECT_AFTER_FAILURES, EndpointHealth
 from gentianmux.leased.job_state import JobState, Phase, Prospect
 from gentianmux.leased.model import How, JobSpec, QueueRules, StepSpec
 from gentianmux.leased.progress import STALL_S, Progress
@@ -41,7 +41,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 9), st.integers(1, 5), st.booleans()), max_size=60))
-def test_room_taken_never_exceeds_the_capacity_and_all_of_it_returns(
+def test_allocations_never_exceed_capacity_and_are_all_released(
     steps: list[tuple[int, int, bool]],
 ) -> None:
     account = RoomAccount(Room(10, 10))
@@ -59,7 +59,7 @@
 # Entry leases
 
 
-def test_the_chain_counts_from_the_sending_of_the_report_that_was_echoed() -> None:
+def test_entry_lease_counts_from_sending_the_echoed_report() -> None:
     side = AgentSide()
     for number in range(1, 11):
         side.sent(number, number / 10)
@@ -72,7 +72,7 @@
     assert not side.holds("e", 2.0)
 
 
-def test_all_leases_are_over_before_a_caller_sends_again() -> None:
+def test_all_leases_expire_before_callers_resend() -> None:
     cfg = LeasedSettings("entry", "e", "fd", "", "")
     assert surely_over(0.0, lease_s(cfg)) < cfg.resend_s
 
@@ -87,9 +87,9 @@
     assert not health.is_ejected(1.0)
 
 
-def test_an_endpoint_that_goes_on_failing_is_left_out_longer_and_recovers_at_once() -> None:
+def test_ejections_grow_and_end_with_the_first_success() -> None:
     health = EndpointHealth()
-    for number in range(FAILED_IN_A_ROW):
+    for number in range(EJECT_AFTER_FAILURES):
         health.ended(str(number), True, None, 0.0)
     assert health.is_ejected(0.9)
     assert health.offered(Room(9), 0, 1.1) == Room(9)
@@ -100,7 +100,7 @@
     assert health.offered(Room(9), 5, 3.0) == Room(9)
 
 
-def test_a_run_stalls_only_when_its_progress_stands_still() -> None:
+def test_a_run_is_stalled_only_without_progress() -> None:
     progress = Progress(0.0)
     for step in range(1, 20):
         progress = progress.seen(step, step * 0.1)
@@ -122,7 +122,7 @@
     return view
 
 
-def test_the_fastest_agent_with_room_is_chosen_and_then_the_emptiest() -> None:
+def test_the_fastest_then_least_loaded_agent_is_chosen() -> None:
     view = fleet(1.0, {"a": 2000, "b": 9000, "c": 16000}, {"c": 300})
     wish = Wish("s", Room(1600, 64))
     chosen = view.choose(wish, view.willing("s", 1.0))
@@ -134,7 +134,7 @@
     assert view.choose(wish._replace(requires="z"), view.willing("s", 1.0)) is None
 
 
-def test_room_assigned_since_the_last_report_is_not_given_away_again() -> None:
+def test_resources_assigned_since_the_last_report_are_not_assigned_again() -> None:
     view = fleet(1.0, {"a": 3000})
     agent = view.of("a.1")
     agent.reserve(1, Room(1600, 64))
@@ -143,12 +143,12 @@
     assert view.choose(Wish("s", Room(1600, 64)), view.willing("s", 1.1)) is agent
 
 
-def test_a_silent_agent_gets_nothing_and_is_over_only_after_every_lease() -> None:
+def test_a_silent_agent_gets_no_runs_and_expires_after_every_lease() -> None:
     view = fleet(1.0, {"a": 3000})
     assert view.willing("s", 1.2)
     assert not view.willing("s", 1.4)
-    assert not view.is_over("a.1", 2.0)
-    assert view.is_over("a.1", 2.2)
+    assert not view.is_expired("a.1", 2.0)
+    assert view.is_expired("a.1", 2.2)
 
 
 # Jobs and their admission
@@ -158,29 +158,29 @@
     first = StepSpec(2, Room(100, 1), 100)
     second = StepSpec(1, Room(100, 1), 300, after=(0,))
     state = JobState(JobSpec("a" * 16, "", (first, second)), QUEUE, 0.0, 5.0)
-    assert state.chain_s == pytest.approx(0.4)
-    names = [task.name for task in state.ready()]
+    assert state.critical_path_s == pytest.approx(0.4)
+    names = [task.name for task in state.ready_tasks()]
     assert names == [f"{'a' * 16}.0.0.0", f"{'a' * 16}.0.0.1"]
-    for task in list(state.ready()):
+    for task in list(state.ready_tasks()):
         state.assign(task, "w", "x", 0.0)
-        state.ended(task.name, task.run, How.DONE)
-    assert [task.step for task in state.ready()] == [1]
+        state.end_run(task.name, task.run, How.DONE)
+    assert [task.step for task in state.ready_tasks()] == [1]
 
 
 @pytest.mark.parametrize("how", [How.NO_ROOM, How.NOT_STARTED, How.OLD_RUN, How.LOST, How.STALLED])
 def test_only_failed_runs_count_as_attempts(how: How) -> None:
     state = job(tasks=1)
     for _ in range(10):
-        (task,) = state.ready()
+        (task,) = state.ready_tasks()
         run = state.assign(task, "w", "x", 0.0)
-        assert state.ended(task.name, run, how)
-        assert not state.ended(task.name, run, how)
+        assert state.end_run(task.name, run, how)
+        assert not state.end_run(task.name, run, how)
     assert not state.failed
     assert state.proved_not_run == how.never_ran
 
 
-def test_jobs_are_decided_once_in_time_late_or_refused() -> None:
-    due = DECIDE_SHARE * job().objective_s
+def test_each_job_is_decided_once() -> None:
+    due = DECISION_RATIO * job().objective_s
     jobs = [job(number) for number in range(40)]
     admission = Admission()
     assert admission.decide(jobs, 12.0, due - 0.01) == ([], [], [], [])
@@ -196,12 +196,12 @@
     assert again == ([], [], [], [])
 
 
-def test_a_job_is_late_when_it_can_still_be_of_use_and_refused_when_not() -> None:
+def test_a_job_is_late_while_its_answer_is_of_use_and_then_refused() -> None:
     ahead = job(1, tasks=10, estimate_ms=500)
     ahead.began = True
     ahead_s = OVERTAKING * ahead.work_cpu_s / 40.0
     candidate = job(2)
-    now = DECIDE_SHARE * candidate.objective_s
+    now = DECISION_RATIO * candidate.objective_s
     spare_s = candidate.last_useful_start - now - ahead_s
     assert candidate.latest_start < now + ahead_s < candidate.last_useful_start
     assert Admission().decide([ahead, candidate], 40.0, now).late == [candidate]
@@ -211,78 +211,78 @@
     assert [retry_after_s(Load(work, 40.0)) for work in (1.0, 12.0, 900.0)] == [1, 2, 5]
 
 
-def test_what_arrives_lengthens_the_wait_of_late_jobs_until_they_are_refused() -> None:
+def test_arriving_work_delays_late_jobs_until_they_are_refused() -> None:
     ahead, candidate = job(1, tasks=10, estimate_ms=500), job(2, arrived=2.0)
     ahead.began = True
-    now = candidate.arrived + DECIDE_SHARE * candidate.objective_s + 0.001
+    now = candidate.arrived_at + DECISION_RATIO * candidate.objective_s + 0.001
     for cores, expected in ((0.0, "late"), (28.0, "late"), (34.0, "refused"), (60.0, "refused")):
         admission = Admission()
         for tenth in range(20):
             coming = job(3, tasks=1, estimate_ms=int(cores / 1.6 * 100), arrived=tenth / 10)
-            admission.arrived(coming, now - 1.95 + tenth / 10)
+            admission.record_arrival(coming, now - 1.95 + tenth / 10)
         decision = admission.decide([ahead, candidate], 40.0, now)
         assert len(getattr(decision, expected)) == 1, cores
 
 
-def test_the_callers_who_come_back_after_a_restart_do_not_count_as_usual_arrivals() -> None:
-    arrivals = Arrivals()
+def test_rate_is_unknown_right_after_a_restart() -> None:
+    arrivals = WorkRate()
     for _ in range(100):
         arrivals.add(10.0, 5.0)
     assert arrivals.rate(5.0 + LEAST_SEEN_S - 0.01) is None
     assert arrivals.rate(5.0 + LEAST_SEEN_S) == 0.0
 
 
-def test_what_is_kept_is_given_up_once_its_answer_can_be_of_no_use() -> None:
+def test_kept_jobs_are_given_up_once_their_answer_is_of_no_use() -> None:
     kept = job(1)
     kept.prospect = Prospect.TIMELY
     assert Admission().decide([kept], 4.0, kept.last_useful_start - 0.01) == ([], [], [], [])
-    assert Admission().decide([kept], 4.0, kept.last_useful_start + 0.01).given_up == [kept]
+    assert Admission().decide([kept], 4.0, kept.last_useful_start + 0.01).expired == [kept]
     kept.began = True
-    assert Admission().decide([kept], 4.0, kept.last_useful_start + 0.01).given_up == []
+    assert Admission().decide([kept], 4.0, kept.last_useful_start + 0.01).expired == []
 
 
-def test_after_a_job_was_kept_in_vain_none_is_kept_to_be_late_for_a_while() -> None:
+def test_late_admissions_pause_after_a_job_was_kept_in_vain() -> None:
     admission = Admission()
     mistaken = job(1)
     mistaken.prospect = Prospect.LATE
     at = mistaken.last_useful_start + 0.01
-    assert admission.decide([mistaken], 40.0, at).given_up == [mistaken]
+    assert admission.decide([mistaken], 40.0, at).expired == [mistaken]
     ahead = job(2, tasks=10, estimate_ms=500, arrived=at)
     ahead.began = True
 
     def decided(now: float) -> Decision:
-        candidate = job(3, arrived=now - DECIDE_SHARE * job().objective_s - 0.001)
+        candidate = job(3, arrived=now - DECISION_RATIO * job().objective_s - 0.001)
         return admission.decide([ahead, candidate], 40.0, now)
 
-    assert len(decided(at + MISTAKE_PAUSE_S - 0.1).refused) == 1
-    assert len(decided(at + MISTAKE_PAUSE_S + 0.1).late) == 1
+    assert len(decided(at + LATE_PAUSE_S - 0.1).refused) == 1
+    assert len(decided(at + LATE_PAUSE_S + 0.1).late) == 1
 
 
-def test_late_work_that_delays_timely_jobs_stops_more_of_it() -> None:
+def test_late_admissions_pause_when_late_work_delays_timely_jobs() -> None:
     admission = Admission()
     late, timely = job(1), job(2)
     late.prospect = Prospect.LATE
     now = timely.latest_start + 0.01
-    admission.begins(timely, now)
+    admission.record_begin(timely, now)
     ahead = job(3, tasks=10, estimate_ms=500)
     ahead.began = True
-    candidate = job(4, arrived=now - DECIDE_SHARE * job().objective_s)
+    candidate = job(4, arrived=now - DECISION_RATIO * job().objective_s)
     assert admission.decide([ahead, candidate], 40.0, now).late == [candidate]
-    admission.begins(late, now)
-    admission.begins(timely, now + 0.01)
+    admission.record_begin(late, now)
+    admission.record_begin(timely, now + 0.01)
     assert len(admission.decide([ahead, candidate], 40.0, now + 0.01).refused) == 1
 
 
-def test_what_has_begun_goes_first_and_then_what_has_to_begin_first() -> None:
+def test_jobs_that_have_begun_go_first_then_by_latest_start() -> None:
     begun, soon, patient = job(1), job(2, estimate_ms=100), job(3, estimate_ms=2000)
     begun.began = True
     assert sorted([patient, begun, soon], key=urgency) == [begun, soon, patient]
-    task, *_ = begun.ready()
+    task, *_ = begun.ready_tasks()
     begun.assign(task, "w", "x", 0.0)
-    assert [each.phase for each in begun.tasks.values()] == [Phase.OUT, Phase.WAITING]
+    assert [each.phase for each in begun.tasks.values()] == [Phase.ASSIGNED, Phase.WAITING]
 
 
-def test_late_jobs_go_last_also_with_the_tasks_that_they_have_left() -> None:
+def test_late_jobs_go_last_also_after_they_have_begun() -> None:
     begun, late, begun_late = job(1, estimate_ms=2000), job(2, estimate_ms=100), job(3)
     begun.began = begun_late.began = True
     late.prospect = begun_late.prospect = Prospect.LATE
@@ -291,23 +291,23 @@
     assert sorted(jobs, key=urgency) == [begun, timely, begun_late, late]
 
 
-def test_recent_runs_alone_make_the_slowness() -> None:
+def test_slowness_counts_only_recent_runs() -> None:
     health = EndpointHealth()
     for ratio in deque([9.0] * 8 + [1.5] * 8):
         health.ended("j", False, ratio, 1.0)
     assert health.slowness() == pytest.approx(1.5)
 
 
-def test_a_round_of_placing_looks_at_the_same_number_of_agents_however_many_there_are() -> None:
+def test_a_placement_round_considers_a_bounded_number_of_agents() -> None:
     view = fleet(1.0, {f"a{number}": 4000 for number in range(3000)})
-    assert len(view.willing("s", 1.0)) == LOOKED_AT
+    assert len(view.willing("s", 1.0)) == MAX_AGENTS_PER_ROUND
     assert view.capacity_cpu("s", 1.0) == pytest.approx(3000 * 16.0)
-    view.forget("a7.1")
+    view.remove_agent("a7.1")
     assert "a7.1" not in view.agents
     assert view.capacity_cpu("s", 1.0) == pytest.approx(2999 * 16.0)
 
 
-def test_announced_agents_count_as_capacity_until_they_are_heard_of_or_long_overdue() -> None:
+def test_announced_agents_count_as_capacity_until_they_report_or_expire() -> None:
     view = FleetView(0.55, Random(1))
     for node in ("w1", "w2"):
         view.expect(node, "s", "fd1", 16000, 10.0)
@@ -322,7 +322,7 @@
     assert view.capacity_cpu("s", 12.1) == 16.0
 
 
-def test_a_leaving_agent_is_asked_only_for_what_can_end() -> None:
+def test_a_stopping_agent_gets_only_runs_that_can_end() -> None:
     view = FleetView(0.55, Random(1))
     agent = view.of("w1.5")
     agent.state = EndpointState("x", "s", "fd", 16000, 1000, 0, [], True)
@@ -332,12 +332,12 @@
     assert view.choose(wish._replace(estimate_ms=401), view.willing("s", 10.0)) is None
 
 
-def test_jobs_that_fit_endpoints_about_to_connect_are_kept() -> None:
-    due = DECIDE_SHARE * job().objective_s + 0.01
+def test_jobs_that_fit_expected_endpoints_are_kept() -> None:
+    due = DECISION_RATIO * job().objective_s + 0.01
     jobs = [job(number) for number in range(40)]
     alone = Admission().decide(jobs, 4.0, due)
-    coming = Admission().decide(jobs, 4.0, due, coming_cpu=20.5 * jobs[0].cpu)
+    coming = Admission().decide(jobs, 4.0, due, expected_cpu=20.5 * jobs[0].cpu)
     assert len(alone.kept) < 10
     assert coming.kept[:20] == jobs[:20]
-    all_coming = Admission().decide(jobs, 4.0, due, coming_cpu=40.5 * jobs[0].cpu)
+    all_coming = Admission().decide(jobs, 4.0, due, expected_cpu=40.5 * jobs[0].cpu)
     assert (all_coming.late, all_coming.refused) == ([], [])
--- a/tests/test_send_window.py
+++ b/tests/test_send_window.py
@@ -14,12 +14,12 @@
 from bench.leased_world import World
 from gentianmux.leased import send_window
 from gentianmux.leased.job_state import Outcome
-from gentianmux.leased.payloads import LONGEST_BYTES, pack, unpack
+from gentianmux.leased.payloads import MAX_PAYLOAD_BYTES, pack, unpack
 from gentianmux.leased.send_window import (
-    LEAST_BYTES,
-    MOST_BYTES,
-    ROUND_S,
-    SLOW_S,
+    ADJUST_INTERVAL_S,
+    CONGESTED_S,
+    MAX_WINDOW_BYTES,
+    MIN_WINDOW_BYTES,
     SendWindow,
 )
 
@@ -32,70 +32,70 @@
 AGENTS = 8
 
 
-def of_agents(window: SendWindow, number: int, delays: list[float], now: float) -> None:
+def acknowledge_after(window: SendWindow, number: int, delays: list[float], now: float) -> None:
     """Send each agent an assignment, and acknowledge each after a delay."""
     for agent, delay in enumerate(delays):
         window.sent(f"w{agent}", number, 10_000, now - delay)
     for agent in range(len(delays)):
-        window.told(f"w{agent}", number, now)
+        window.acknowledged(f"w{agent}", number, now)
 
 
-def test_the_limit_falls_to_what_was_on_its_way_and_no_lower_than_the_least() -> None:
+def test_limit_falls_to_bytes_in_flight_and_not_below_minimum() -> None:
     window = SendWindow()
     for number in range(1, 40):
-        of_agents(window, number, [0.3] * 5, number * ROUND_S)
-        window.correct(number * ROUND_S)
+        acknowledge_after(window, number, [0.3] * 5, number * ADJUST_INTERVAL_S)
+        window.adjust(number * ADJUST_INTERVAL_S)
         if number == 1:
             assert window.limit < 50_000
-    assert window.limit == LEAST_BYTES
+    assert window.limit == MIN_WINDOW_BYTES
 
 
-def test_one_slow_agent_says_nothing_of_the_link() -> None:
+def test_one_slow_agent_does_not_lower_the_limit() -> None:
     window = SendWindow()
-    of_agents(window, 1, [0.9, SLOW_S / 2, 0.01, 0.02, 0.01], ROUND_S)
+    acknowledge_after(window, 1, [0.9, CONGESTED_S / 2, 0.01, 0.02, 0.01], ADJUST_INTERVAL_S)
     window.sent("w9", 1, 10_000, 0.0)
-    window.correct(ROUND_S)
-    assert window.limit == MOST_BYTES
+    window.adjust(ADJUST_INTERVAL_S)
+    assert window.limit == MAX_WINDOW_BYTES
 
 
-def test_a_process_that_stood_still_does_not_pass_for_a_full_link() -> None:
+def test_a_paused_process_is_not_taken_for_congestion() -> None:
     window = SendWindow(link_bytes_s=1_562_500)
     window.sent("w0", 1, 2_000, 0.0)
-    window.told("w0", 1, 4.0)
-    window.correct(4.0)
+    window.acknowledged("w0", 1, 4.0)
+    window.adjust(4.0)
     assert window.limit >= 20_000
 
 
-def test_the_limit_rises_only_while_something_waits_for_it() -> None:
+def test_limit_rises_only_while_tasks_wait_for_the_link() -> None:
     window = SendWindow()
-    of_agents(window, 1, [0.3] * 5, ROUND_S)
-    window.correct(ROUND_S)
+    acknowledge_after(window, 1, [0.3] * 5, ADJUST_INTERVAL_S)
+    window.adjust(ADJUST_INTERVAL_S)
     low = window.limit
-    of_agents(window, 2, [0.01] * 5, 2 * ROUND_S)
-    window.correct(2 * ROUND_S)
+    acknowledge_after(window, 2, [0.01] * 5, 2 * ADJUST_INTERVAL_S)
+    window.adjust(2 * ADJUST_INTERVAL_S)
     assert window.limit == low
-    window.hold_back(3 * ROUND_S)
-    of_agents(window, 3, [0.01] * 5, 3 * ROUND_S)
-    window.correct(3 * ROUND_S)
+    window.record_blocked(3 * ADJUST_INTERVAL_S)
+    acknowledge_after(window, 3, [0.01] * 5, 3 * ADJUST_INTERVAL_S)
+    window.adjust(3 * ADJUST_INTERVAL_S)
     assert window.limit > low
 
 
-def test_what_was_on_its_way_to_a_lost_agent_takes_nothing() -> None:
+def test_forgetting_an_agent_drops_its_bytes_in_flight() -> None:
     window = SendWindow()
     window.sent("w0", 1, 10_000, 0.0)
     window.sent("w1", 1, 5_000, 0.0)
     window.forget("w0")
     window.forget("w0")
-    assert window.on_way == 5_000
-    window.told("w1", 1, 0.1)
-    window.told("w0", 1, 0.1)
-    assert window.on_way == 0
+    assert window.in_flight_bytes == 5_000
+    window.acknowledged("w1", 1, 0.1)
+    window.acknowledged("w0", 1, 0.1)
+    assert window.in_flight_bytes == 0
 
 
 @given(
     st.lists(st.tuples(st.sampled_from("stfc"), st.integers(0, 3), st.integers(1, 9)), max_size=60)
 )
-def test_what_is_on_its_way_is_never_below_nothing(events: list[tuple[str, int, int]]) -> None:
+def test_bytes_in_flight_are_never_negative(events: list[tuple[str, int, int]]) -> None:
     window = SendWindow()
     numbers = [0, 0, 0, 0]
     for at, (event, agent, amount) in enumerate(events):
@@ -104,25 +104,25 @@
             numbers[agent] += 1
             window.sent(name, numbers[agent], amount * 1000, at / 10)
         elif event == "t":
-            window.told(name, max(0, numbers[agent] - amount // 3), at / 10)
+            window.acknowledged(name, max(0, numbers[agent] - amount // 3), at / 10)
         elif event == "f":
             window.forget(name)
         else:
-            window.correct(at / 10)
-        assert window.on_way >= 0
-        assert LEAST_BYTES <= window.limit <= MOST_BYTES
+            window.adjust(at / 10)
+        assert window.in_flight_bytes >= 0
+        assert MIN_WINDOW_BYTES <= window.limit <= MAX_WINDOW_BYTES
 
 
 # Payloads
 
 
 @given(st.text(max_size=3000))
-def test_a_payload_comes_as_it_was_sent(payload: str) -> None:
+def test_payload_survives_encoding(payload: str) -> None:
     assert unpack(pack(payload)) == payload
 
 
-def test_a_payload_that_cannot_be_read_is_refused() -> None:
-    bomb = pack("a" * (LONGEST_BYTES + 1))
+def test_malformed_payloads_are_rejected() -> None:
+    bomb = pack("a" * (MAX_PAYLOAD_BYTES + 1))
     for data in (b"", b"\2x", b"\1x", pack("a" * 1000)[:-3], bomb):
         with pytest.raises(ValueError, match="payload"):
             unpack(data)
@@ -138,7 +138,7 @@
     completed: int
 
 
-class Load(NamedTuple):
+class Results(NamedTuple):
     """Results of a simulation."""
 
     seconds: list[Second]
@@ -146,7 +146,7 @@
     stopped: int
 
 
-def play(times: float, seed: int) -> Load:
+def simulate(times: float, seed: int) -> Results:
     """Simulate 5 s at a multiple of the link's bandwidth, then 3 s at half of it."""
     world = World(AGENTS, 1, seed, link_bytes_s=LINK_BYTES)
     world.run(1.0)
@@ -168,15 +168,13 @@
             j for j in jobs if j.ticket.verdict and j.ticket.verdict.outcome is Outcome.COMPLETED
         ]
         seconds.append(Second(len(jobs), len(done)))
-    return Load(seconds, sum(j.ended_at - j.at > 1.2 for j in world.asked), world.wasted_runs)
+    return Results(seconds, sum(j.ended_at - j.at > 1.2 for j in world.asked), world.wasted_runs)
 
 
 @pytest.mark.parametrize("times", [1.5, 3.0])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_an_overloaded_link_carries_what_it_can_and_recovers_within_a_second(
-    times: float, seed: int
-) -> None:
-    found = play(times, seed)
+def test_overloaded_link_stays_used_and_recovers_within_a_second(times: float, seed: int) -> None:
+    found = simulate(times, seed)
     carried = LINK_BYTES / JOB_BYTES
     # The first second fills the link before any delay is measured.
     served = [second.completed for second in found.seconds[1:5]]
@@ -186,14 +184,14 @@
 
 
 @pytest.mark.parametrize("times", [0.5, 0.9])
-def test_a_link_that_is_not_full_is_not_held_back(times: float) -> None:
-    found = play(times, 1)
+def test_uncongested_link_is_not_limited(times: float) -> None:
+    found = simulate(times, 1)
     assert all(second.completed == second.sent for second in found.seconds)
     assert (found.held, found.stopped) == (0, 0)
 
 
-def test_without_the_window_the_link_is_full_for_good(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(send_window, "LEAST_BYTES", 10**9)
-    monkeypatch.setattr(send_window, "MOST_BYTES", 10**9)
-    found = play(1.5, 1)
+def test_link_stays_congested_without_the_window(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(send_window, "MIN_WINDOW_BYTES", 10**9)
+    monkeypatch.setattr(send_window, "MAX_WINDOW_BYTES", 10**9)
+    found = simulate(1.5, 1)
     assert sum(second.completed for second in found.seconds[2:]) < 10
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -18,14 +18,14 @@
 FAULTY_STEPS = range(20, 60)
 
 
-class Played(NamedTuple):
+class Results(NamedTuple):
     """Part of the jobs that were in time, and frames sent."""
 
     in_time: float
     frames: int
 
 
-def play(fault: str, seed: int) -> Played:
+def simulate(fault: str, seed: int) -> Results:
     """Simulate a usual load on 12 endpoints, a sixth of which fails for a while."""
     world = World(12, 3, seed)
     world.run(1.0)
@@ -46,7 +46,7 @@
     world.run(4.0)
     assert world.breaches == []
     done = [job for job in world.asked if is_in_time(job)]
-    return Played(len(done) / len(world.asked), world.frames - frames)
+    return Results(len(done) / len(world.asked), world.frames - frames)
 
 
 def is_in_time(job) -> bool:  # type: ignore[no-untyped-def]
@@ -56,19 +56,19 @@
 
 
 @pytest.mark.parametrize("fault", ["none", "still", "killed"])
-def test_tasks_together_serve_no_worse_and_cost_fewer_frames(
+def test_colocated_tasks_serve_no_worse_with_fewer_frames(
     fault: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    together = [play(fault, seed) for seed in SEEDS]
+    colocated = [simulate(fault, seed) for seed in SEEDS]
     monkeypatch.setattr(placing, "TOGETHER", 1)
-    apart = [play(fault, seed) for seed in SEEDS]
-    assert sum(each.in_time for each in together) >= sum(each.in_time for each in apart)
-    frames = sum(each.frames for each in together) / sum(each.frames for each in apart)
+    spread = [simulate(fault, seed) for seed in SEEDS]
+    assert sum(each.in_time for each in colocated) >= sum(each.in_time for each in spread)
+    frames = sum(each.frames for each in colocated) / sum(each.frames for each in spread)
     # A stalled endpoint causes frames that colocation does not save.
     assert frames < (1.0 if fault == "still" else 0.85)
 
 
-def test_a_payload_leaves_an_entry_once_for_each_agent() -> None:
+def test_payload_is_sent_once_to_each_agent() -> None:
     world = World(1, 1)
     world.run(1.0)
     sent: list[Message] = []
