--- a/bench/leased_endpoint.py
+++ b/bench/leased_endpoint.py
@@ -6,16 +6,16 @@
 
 from gentianmux.leased.model import (
     ActiveRun,
-    EndedRow,
     EndpointGone,
     EndpointReport,
     EndpointStartedAgain,
+    EndRecord,
     HoldReply,
-    How,
     NoAnswer,
-    StartVerdict,
+    RunOutcome,
+    StartResult,
 )
-from gentianmux.leased.room import NO_ROOM, Room
+from gentianmux.leased.resources import NO_RESOURCES, Resources
 
 if TYPE_CHECKING:
     from bench.leased_world import Machine, World
@@ -42,7 +42,7 @@
 class FakeRun:
     """A run at a fake endpoint."""
 
-    need: Room
+    need: Resources
     work: Work
     done_s: float = 0.0
     moved_at: float = 0.0
@@ -80,7 +80,7 @@
         Starts that get no answer and are carried out ``late_by`` seconds later.
     """
 
-    def __init__(self, world: "World", name: str, capacity: Room) -> None:
+    def __init__(self, world: "World", name: str, capacity: Resources) -> None:
         self.world = world
         self.name = name
         self.capacity = capacity
@@ -97,16 +97,16 @@
         self.late_by = 3.0
         self.up = True
         self.active: dict[tuple[str, int], FakeRun] = {}
-        self.ends: list[EndedRow] = []
+        self.ends: list[EndRecord] = []
         self.stopped_runs: dict[str, int] = defaultdict(int)
         self.fence = 0
         self.lease_until = 0.0
         self.acknowledged = 0
         self._number = 0
 
-    def used(self) -> Room:
+    def used(self) -> Resources:
         """What its runs take, those being stopped included."""
-        total = NO_ROOM
+        total = NO_RESOURCES
         for run in self.active.values():
             total = total.plus(run.need)
         return total
@@ -119,27 +119,27 @@
             run.done_s += max(0.0, end - run.moved_at) * self.speed
             run.moved_at = max(run.moved_at, end)
             if run.stop_at is not None and now >= run.stop_at:
-                self._end(key, How.STOPPED)
+                self._end(key, RunOutcome.STOPPED)
             elif now > self.lease_until:
-                self._end(key, How.LOST)
+                self._end(key, RunOutcome.LOST)
             elif self.failing:
-                self._end(key, How.FAILED)
+                self._end(key, RunOutcome.FAILED)
             elif run.done_s >= run.work.run_s:
                 failed = self.world.failed[key[0]] < run.work.failures
                 self.world.failed[key[0]] += failed
-                self._end(key, How.FAILED if failed else How.DONE)
+                self._end(key, RunOutcome.FAILED if failed else RunOutcome.DONE)
 
-    def _end(self, key: tuple[str, int], how: How) -> None:
+    def _end(self, key: tuple[str, int], how: RunOutcome) -> None:
         del self.active[key]
         self._number += 1
         self.stopped_runs[key[0]] = max(self.stopped_runs[key[0]], key[1])
-        self.ends.append(EndedRow(self._number, *key, how))
-        if how is not How.DONE:
+        self.ends.append(EndRecord(self._number, *key, how))
+        if how is not RunOutcome.DONE:
             self.world.wasted_runs += 1
 
     def begin(
         self, task: str, run: int, fence: int, until: float, late: bool = False
-    ) -> StartVerdict:
+    ) -> StartResult:
         """Carry out a start; one that is carried out late runs under the lease that looks renewed.
 
         Where none did, its own lease is over, and so is any run that it could begin.
@@ -148,14 +148,14 @@
         now = self.world.time
         latest = max(until, self.lease_until) if late else until
         if fence < self.fence or latest < now:
-            return StartVerdict.REFUSED
+            return StartResult.REFUSED
         self.fence = fence
         if (task, run) in self.active:
-            return StartVerdict.STARTED
+            return StartResult.STARTED
         if run <= self.stopped_runs.get(task, 0):
-            return StartVerdict.OLD_RUN
+            return StartResult.OLD_RUN
         if self.unhealthy:
-            return StartVerdict.UNHEALTHY
+            return StartResult.UNHEALTHY
         step, work = self.world.works[task]
         self.world.note_start(self, task, late)
         self.lease_until = max(self.lease_until, min(until, now + LONGEST_LEASE_S))
@@ -169,7 +169,7 @@
             self.world.at(0.01, "", self.advance)
         elif self.speed:
             self.world.at(work.run_s / self.speed + 0.0001, "", self.advance)
-        return StartVerdict.STARTED
+        return StartResult.STARTED
 
 
 class ConnectionBroken(NoAnswer):
@@ -221,23 +221,23 @@
 
     def start(
         self, task: str, run: int, payload: str, lease: float, asked_at: float
-    ) -> StartVerdict:
+    ) -> StartResult:
         until = self._until(lease)
         try:
             endpoint = self._there()
         except EndpointGone:
-            return StartVerdict.REPLACED
+            return StartResult.REPLACED
         except NoAnswer:
-            return StartVerdict.NO_ANSWER
+            return StartResult.NO_ANSWER
         if endpoint.late_orders:
             endpoint.late_orders -= 1
             order = (task, run, self._fence, until, True)
             self._world.at(endpoint.late_by, "", endpoint.begin, *order)
-            return StartVerdict.NO_ANSWER
+            return StartResult.NO_ANSWER
         verdict = endpoint.begin(task, run, self._fence, until)
         if endpoint.lose_answers:
             endpoint.lose_answers -= 1
-            return StartVerdict.NO_ANSWER
+            return StartResult.NO_ANSWER
         return verdict
 
     def stop(self, task: str, run: int) -> bool:
--- a/src/gentianmux/clock.py
+++ b/src/gentianmux/clock.py
@@ -32,16 +32,16 @@
         """Unix time in ms, for ids and deadlines that cross processes."""
         return int(time() * 1000)
 
-    def later(self, delay_s: float, call: Callable[..., Any], *args: Any) -> None:
+    def call_later(self, delay_s: float, call: Callable[..., Any], *args: Any) -> None:
         """Call once after a delay in seconds."""
         gevent.spawn_later(delay_s, call, *args)
 
-    def soon(self, call: Callable[..., Any], *args: Any) -> None:
+    def call_soon(self, call: Callable[..., Any], *args: Any) -> None:
         """Call once, outside the present call; it may block."""
         gevent.spawn(call, *args)
 
 
-def repeat(period_s: float, call: Callable[[], None]) -> None:
+def run_periodically(period_s: float, call: Callable[[], None]) -> None:
     """Call for ever, with a pause in seconds before each call.
 
     A call that fails is logged and the next one made: a process whose deadlines, leases or reports
--- a/src/gentianmux/leased/admitting.py
+++ b/src/gentianmux/leased/admitting.py
@@ -11,7 +11,7 @@
     expected_wait_s,
     retry_after_s,
 )
-from .entry_board import EntryBoard
+from .entry_board import EntryContext
 from .job_state import JobState, Prospect
 
 NO_AGENT_TIMEOUT_S = 0.5
@@ -23,7 +23,7 @@
 
     Parameters
     ----------
-    board : EntryBoard
+    ctx : EntryContext
         Jobs and agents of the entry.
 
     Attributes
@@ -36,9 +36,9 @@
     ``controller.decide(now)`` at each tick.
     """
 
-    def __init__(self, board: EntryBoard) -> None:
+    def __init__(self, ctx: EntryContext) -> None:
         self.admissions: defaultdict[str, Admission] = defaultdict(Admission)
-        self._board = board
+        self._ctx = ctx
         self._no_agent_since: dict[str, float] = {}
 
     def decide(self, now: float) -> None:
@@ -46,17 +46,17 @@
 
         A service's backlog is examined only when one of its jobs is due or no agent serves it.
         """
-        for service in self._board.backlog.services():
+        for service in self._ctx.backlog.services():
             admission = self.admissions[service]
-            if now >= admission.next_decision_at or not self._board.view.is_served(service, now):
+            if now >= admission.next_decision_at or not self._ctx.view.is_served(service, now):
                 self._decide_service(service, admission, now)
 
     def _decide_service(self, service: str, admission: Admission, now: float) -> None:
-        view = self._board.view
+        view = self._ctx.view
         entries = max(1, view.entries(now))
-        jobs = self._board.backlog.jobs_of(service)
+        jobs = self._ctx.backlog.jobs_of(service)
         capacity = view.capacity_cpu(service, now) / entries
-        if self._board.window.is_limiting(now):
+        if self._ctx.window.is_limiting(now):
             # The link limits what can begin, however many endpoints are idle.
             capacity = min(capacity, admission.begun_cpu(now))
         if not capacity:
@@ -71,22 +71,22 @@
     def _reorder(self, jobs: list[JobState]) -> None:
         """Move jobs that will be served late behind the others."""
         for job in jobs:
-            self._board.backlog.put(job)
+            self._ctx.backlog.put(job)
 
     def _apply(self, decision: Decision, now: float, entries: int) -> None:
         for job in decision.kept:
             job.prospect = Prospect.TIMELY
         for job in decision.late:
             job.prospect = Prospect.LATE
-            self._board.metrics.count("jobs_late_decided")
+            self._ctx.metrics.count("jobs_late_decided")
             logger.bind(
                 job=job.spec.job_id,
                 slack_ms=round((job.latest_start - now) * 1000),
                 useful_ms=round((job.last_useful_start - now) * 1000),
             ).info("late service decided")
         for job in decision.expired:
-            self._board.metrics.count("jobs_kept_in_vain", label=job.prospect.value)
-            self._board.give_up(job, "waited until its answer would be of no use")
+            self._ctx.metrics.count("jobs_kept_in_vain", label=job.prospect.value)
+            self._ctx.give_up(job, "waited until its answer would be of no use")
         for job, load in decision.refused:
             logger.bind(
                 job=job.spec.job_id,
@@ -97,16 +97,16 @@
                 useful_ms=round((job.last_useful_start - now) * 1000),
                 entries=entries,
             ).info("refusal decided")
-            self._board.give_up(job, "its answer would be of no use", retry_after_s(load))
+            self._ctx.give_up(job, "its answer would be of no use", retry_after_s(load))
 
     def _refuse_without_agents(self, service: str, jobs: list[JobState], now: float) -> None:
-        if self._board.view.is_evacuated(service, now):
+        if self._ctx.view.is_evacuated(service, now):
             # An evacuation lasts longer than any job may wait.
             for job in jobs:
                 reason = "every endpoint of its service is evacuated"
-                self._board.give_up(job, reason, MAX_RETRY_AFTER_S)
+                self._ctx.give_up(job, reason, MAX_RETRY_AFTER_S)
             return
         since = self._no_agent_since.setdefault(service, now)
         for job in jobs:
             if now - max(since, job.arrived_at) > NO_AGENT_TIMEOUT_S:
-                self._board.give_up(job, "no agent serves its service")
+                self._ctx.give_up(job, "no agent serves its service")
--- a/src/gentianmux/leased/backlog.py
+++ b/src/gentianmux/leased/backlog.py
@@ -7,7 +7,7 @@
 
 from .admission import urgency
 from .job_state import JobDemand, JobState
-from .room import NO_ROOM, Room
+from .resources import NO_RESOURCES, Resources
 
 UrgencyClass = tuple[bool, bool, int]
 """Urgency class: late, not begun, priority."""
@@ -34,7 +34,7 @@
     ----------
     urgency_class : tuple
         The urgency class.
-    total : Room
+    total : Resources
         Resources that all of them need.
     least_cpu : int
         CPU need of the smallest task, in thousandths of a core.
@@ -43,7 +43,7 @@
     """
 
     urgency_class: UrgencyClass
-    total: Room
+    total: Resources
     least_cpu: int
     begin_by: float
 
@@ -52,7 +52,7 @@
     """Running totals of one urgency class."""
 
     def __init__(self) -> None:
-        self.total = NO_ROOM
+        self.total = NO_RESOURCES
         self.least_cpus: list[int] = []
 
     def add(self, demand: JobDemand) -> None:
--- a/src/gentianmux/leased/candidates.py
+++ b/src/gentianmux/leased/candidates.py
@@ -4,7 +4,7 @@
 from heapq import heapify, heappop, heappush
 from typing import TYPE_CHECKING
 
-from .room import Room
+from .resources import Resources
 
 if TYPE_CHECKING:
     from .fleet_view import AgentView, FleetView, Wish
@@ -53,7 +53,7 @@
         """Largest free CPU of any agent, in thousandths of a core."""
         return max((agent.free.cpu for agent in self._agents), default=0)
 
-    def has_resources(self, need: Room) -> bool:
+    def has_resources(self, need: Resources) -> bool:
         """Whether any agent has the free resources for a task, other requirements aside."""
         return any(agent.free.fits(need) for agent in self._agents)
 
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -5,7 +5,7 @@
 import gevent
 from loguru import logger
 
-from ..clock import Clock, repeat
+from ..clock import Clock, run_periodically
 from ..messages import (
     AgentLoad,
     ConfigPiece,
@@ -22,16 +22,16 @@
 from .chain import ECHO_GAP_S
 from .config_feed import ConfigFeed
 from .config_handing import ConfigHanding
-from .entry_board import EntryBoard
+from .entry_board import EntryContext
 from .evacuation_sharing import EvacuationSharing
 from .evacuations import Evacuations
 from .fleet_view import FleetView
 from .job_state import JobState, Outcome, estimate_critical_path_s
 from .leaving import ends_in_time
 from .links import Links
-from .model import How, JobSpec, QueueRules
+from .model import JobSpec, QueueConfig, RunOutcome
 from .placing import Placing
-from .room import NO_ROOM
+from .resources import NO_RESOURCES
 from .run_ends import RunEnds
 from .ticket import Ticket, Verdict
 
@@ -86,14 +86,12 @@
         clock: Clock,
         link_bytes_s: float = 0.0,
     ) -> None:
-        self._board = EntryBoard(view, links, feed, metrics, clock, link_bytes_s)
+        self._ctx = EntryContext(view, links, feed, metrics, clock, link_bytes_s)
         self._handing = ConfigHanding(feed, links, clock)
         self._sharing = EvacuationSharing(feed.evacuations, links, self._on_evacuations)
-        self._completions = RunEnds(self._board)
-        self._admission_controller = Admitting(self._board)
-        self._placing = Placing(
-            self._board, self._completions, self._admission_controller.admissions
-        )
+        self._completions = RunEnds(self._ctx)
+        self._admission_controller = Admitting(self._ctx)
+        self._placing = Placing(self._ctx, self._completions, self._admission_controller.admissions)
         self.leaving = False
         self._leaves_at = float("inf")
         self._idle_since: float | None = None
@@ -104,61 +102,61 @@
     @property
     def jobs(self) -> dict[str, Ticket]:
         """Unfinished jobs by their ids."""
-        return self._board.jobs
+        return self._ctx.jobs
 
     @property
     def is_ready(self) -> bool:
         """Whether callers should be routed here."""
-        reachable = self._board.view.is_reachable(self._board.clock.now())
-        return not self.leaving and self._board.feed.current is not None and reachable
+        reachable = self._ctx.view.is_reachable(self._ctx.clock.now())
+        return not self.leaving and self._ctx.feed.current is not None and reachable
 
     # Jobs
 
-    def submit(self, spec: JobSpec, queue: QueueRules, time_limit_s: float) -> Ticket:
+    def submit(self, spec: JobSpec, queue: QueueConfig, time_limit_s: float) -> Ticket:
         """Admit a job, or join the unfinished job of the same id.
 
         Parameters
         ----------
         spec : JobSpec
             The job.
-        queue : QueueRules
+        queue : QueueConfig
             Configuration of its queue.
         time_limit_s : float
             Seconds after which the job is given up.
         """
-        running = self._board.jobs.get(spec.job_id)
+        running = self._ctx.jobs.get(spec.job_id)
         if running is not None:
-            self._board.metrics.count("jobs_joined")
+            self._ctx.metrics.count("jobs_joined")
             return running
-        now = self._board.clock.now()
+        now = self._ctx.clock.now()
         job = JobState(spec, queue, now, now + time_limit_s)
         ticket = Ticket(job)
-        self._board.jobs[spec.job_id] = ticket
-        self._board.backlog.put(job)
-        self._board.metrics.count("jobs_admitted")
+        self._ctx.jobs[spec.job_id] = ticket
+        self._ctx.backlog.put(job)
+        self._ctx.metrics.count("jobs_admitted")
         self._admission_controller.admissions[queue.service].record_arrival(job, now)
         self._placing.place()
         return ticket
 
     def now(self) -> float:
         """Monotonic time in seconds, the clock of job deadlines."""
-        return self._board.clock.now()
+        return self._ctx.clock.now()
 
     def pending(self, queue: str) -> int:
         """Number of jobs of a queue that have not begun."""
-        waiting = (job for job in self._board.backlog if not job.began)
+        waiting = (job for job in self._ctx.backlog if not job.began)
         return sum(1 for job in waiting if job.queue.name == queue)
 
     def cancel(self, job_id: str) -> bool:
         """Cancel a job; False when it is not known here."""
-        ticket = self._board.jobs.get(job_id)
+        ticket = self._ctx.jobs.get(job_id)
         if ticket is not None:
-            self._board.finish(ticket.job, Verdict(Outcome.CANCELLED, "cancelled by its caller"))
+            self._ctx.finish(ticket.job, Verdict(Outcome.CANCELLED, "cancelled by its caller"))
         return ticket is not None
 
     def abandon(self, ticket: Ticket, reason: str) -> None:
         """Stop a job that nobody waits for any more."""
-        self._board.finish(ticket.job, Verdict(Outcome.UNKNOWN, reason))
+        self._ctx.finish(ticket.job, Verdict(Outcome.UNKNOWN, reason))
 
     # Messages from agents
 
@@ -169,24 +167,24 @@
 
     @on_message.register
     def _(self, msg: AgentLoad, agent: str) -> None:
-        view = self._board.view.of(agent)
-        now = self._board.clock.now()
+        view = self._ctx.view.of(agent)
+        now = self._ctx.clock.now()
         view.take_load(msg, now)
-        self._board.window.acknowledged(agent, msg.applied, now)
+        self._ctx.window.acknowledged(agent, msg.applied, now)
         self._handing.heard_of(agent, msg.config_version)
         if view.free.cpu > 0:
             self._placing.place_soon()
         # Return resources that are granted to tasks that no longer wait.
-        gives_back = not self._board.backlog and bool(view.sent_signature)
-        if gives_back or self._board.clock.now() - view.echoed_at >= ECHO_GAP_S:
-            self._board.echo(view)
+        gives_back = not self._ctx.backlog and bool(view.sent_signature)
+        if gives_back or self._ctx.clock.now() - view.echoed_at >= ECHO_GAP_S:
+            self._ctx.echo(view)
 
     @on_message.register
     def _(self, msg: EndpointState, agent: str) -> None:
-        view = self._board.view.of(agent)
+        view = self._ctx.view.of(agent)
         before = view.state
         view.state = msg
-        view.heard_at = self._board.clock.now()
+        view.heard_at = self._ctx.clock.now()
         if before != msg:
             logger.bind(
                 peer=agent, endpoint=msg.life, accepting=msg.accepting, service=msg.service
@@ -198,13 +196,13 @@
     @on_message.register
     def _(self, msg: EndedRuns, agent: str) -> None:
         for row in msg.runs:
-            self._completions.record_end(agent, row.task, row.run, How(row.how))
-        view = self._board.view.of(agent)
+            self._completions.record_end(agent, row.task, row.run, RunOutcome(row.how))
+        view = self._ctx.view.of(agent)
         if msg.runs:
             view.last_ended_number = max(view.last_ended_number, msg.runs[-1].number)
         if view.is_shutting_down:
             # A stopping agent ends once its last runs are acknowledged.
-            self._board.echo(view)
+            self._ctx.echo(view)
         self._placing.place_soon()
 
     @on_message.register
@@ -224,7 +222,7 @@
         self._sharing.take(msg, agent)
 
     def _on_evacuations(self, evacuations: Evacuations) -> None:
-        self._board.view.evacuated = evacuations.failure_domains
+        self._ctx.view.evacuated = evacuations.failure_domains
         self._placing.place_soon()
 
     # Losses
@@ -232,66 +230,64 @@
     def _on_open(self, hello: Hello) -> None:
         # Before any assignment: the agent may have just started.
         self._sharing.greet(hello.process)
-        self._completions.opened_at[hello.process] = self._board.clock.now()
-        self._board.window.forget(hello.process)
+        self._completions.opened_at[hello.process] = self._ctx.clock.now()
+        self._ctx.window.forget(hello.process)
         # Echo the next report at once: the connection may replace a silent one, whose entry lease
         # is about to expire.
-        self._board.view.of(hello.process).echoed_at = 0.0
+        self._ctx.view.of(hello.process).echoed_at = 0.0
 
     def _on_close(self, agent: str) -> None:
         """Keep the agent's runs until their leases have expired, since it may connect again."""
-        view = self._board.view.agents.get(agent)
+        view = self._ctx.view.agents.get(agent)
         if view is not None:
-            view.offer(NO_ROOM)
-        self._board.window.forget(agent)
+            view.offer(NO_RESOURCES)
+        self._ctx.window.forget(agent)
 
     # Periodic work
 
     def run_loops(self) -> list[gevent.Greenlet]:
         """Spawn the periodic loops."""
         return [
-            gevent.spawn(repeat, 0.0, self._tick_and_sleep),
-            gevent.spawn(repeat, LOSS_CHECK_S, self.check_losses),
+            gevent.spawn(run_periodically, 0.0, self._tick_and_sleep),
+            gevent.spawn(run_periodically, LOSS_CHECK_S, self.check_losses),
         ]
 
     def _tick_and_sleep(self) -> None:
         self.step()
-        gevent.sleep(STEP_S if self._board.backlog else IDLE_TICK_S)
+        gevent.sleep(STEP_S if self._ctx.backlog else IDLE_TICK_S)
 
     def check_losses(self) -> None:
         """End the runs of lost agents, and close idle connections."""
-        now = self._board.clock.now()
-        for process in list(self._board.view.agents):
-            if self._board.view.is_expired(process, now):
+        now = self._ctx.clock.now()
+        for process in list(self._ctx.view.agents):
+            if self._ctx.view.is_expired(process, now):
                 self._completions.lose_process(process, "silent for longer than every lease")
-        self._board.links.close_silent()
+        self._ctx.links.close_silent()
 
     def step(self) -> None:
         """End jobs at their deadlines, decide waiting jobs, and place tasks."""
-        now = self._board.clock.now()
-        for ticket in list(self._board.jobs.values()):
+        now = self._ctx.clock.now()
+        for ticket in list(self._ctx.jobs.values()):
             if now >= ticket.job.deadline:
-                self._board.give_up(ticket.job, "deadline passed")
+                self._ctx.give_up(ticket.job, "deadline passed")
         self._adjust_window(now)
-        if self._board.backlog:
+        if self._ctx.backlog:
             self._admission_controller.decide(now)
             self._placing.place()
 
     def _adjust_window(self, now: float) -> None:
-        window = self._board.window
+        window = self._ctx.window
         before = window.limit
         window.adjust(now)
         if window.limit < before:
             logger.bind(
                 limit_bytes=window.limit, before=before, on_way_bytes=window.in_flight_bytes
             ).info("link is full")
-        self._board.metrics.gauge("link_window_bytes", window.limit)
+        self._ctx.metrics.gauge("link_window_bytes", window.limit)
 
     def takes(self, spec: JobSpec) -> bool:
         """Whether a job is expected to end before this process does."""
-        return ends_in_time(
-            estimate_critical_path_s(spec), self._leaves_at - self._board.clock.now()
-        )
+        return ends_in_time(estimate_critical_path_s(spec), self._leaves_at - self._ctx.clock.now())
 
     def leave(self, linger_s: float, until: float) -> None:
         """Accept jobs that can end before ``until`` for at least ``linger_s``, and answer all.
@@ -307,11 +303,11 @@
         """
         self.begin_leaving(until)
         gevent.sleep(linger_s)
-        while not self.has_left() and self._board.clock.now() < until:
+        while not self.has_left() and self._ctx.clock.now() < until:
             gevent.sleep(DRAIN_CHECK_INTERVAL_S)
-        self._leaves_at = self._board.clock.now()
-        for ticket in list(self._board.jobs.values()):
-            self._board.give_up(ticket.job, "the entry ends")
+        self._leaves_at = self._ctx.clock.now()
+        for ticket in list(self._ctx.jobs.values()):
+            self._ctx.give_up(ticket.job, "the entry ends")
 
     def begin_leaving(self, until: float) -> None:
         """Accept only jobs that are expected to end before ``until``."""
@@ -323,8 +319,8 @@
 
         A job accepted between the last answer and the end of the process would be cut off.
         """
-        now = self._board.clock.now()
-        if self._board.jobs:
+        now = self._ctx.clock.now()
+        if self._ctx.jobs:
             self._idle_since = None
             return False
         if self._idle_since is None:
--- a/src/gentianmux/leased/entry_board.py
+++ b/src/gentianmux/leased/entry_board.py
@@ -24,7 +24,7 @@
 """Default retry delay of refused callers in seconds."""
 
 
-class EntryBoard:
+class EntryContext:
     """Shared state of the controllers of an entry.
 
     Parameters
@@ -55,7 +55,7 @@
 
     Examples
     --------
-    ``board.finish(job, Verdict(Outcome.COMPLETED, "every task is done"))``
+    ``ctx.finish(job, Verdict(Outcome.COMPLETED, "every task is done"))``
     """
 
     def __init__(
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -9,8 +9,8 @@
 from .chain import CHAIN_S, surely_over
 from .claiming import Signature
 from .leaving import NO_BOUND_MS
-from .model import node_of
-from .room import NO_ROOM, Room
+from .model import instance_of
+from .resources import NO_RESOURCES, Resources
 
 MAX_REPORT_AGE_S = CHAIN_S - 0.05
 """Age in seconds of its newest load report from which an agent gets no new runs: they would arrive
@@ -43,7 +43,7 @@
         Monotonic time of the last report.
     newest_load : int
         Number of the newest load report.
-    free : Room
+    free : Resources
         Resources offered, less what was assigned since the report that offered them.
     slowness : float
         Mean run time over estimate at the endpoint.
@@ -67,11 +67,11 @@
     state: EndpointState | None = None
     heard_at: float = 0.0
     newest_load: int = 0
-    free: Room = NO_ROOM
+    free: Resources = NO_RESOURCES
     slowness: float = 1.0
     last_assigned_number: int = 0
-    _offered: Room = NO_ROOM
-    _pending: dict[int, Room] = field(default_factory=dict)
+    _offered: Resources = NO_RESOURCES
+    _pending: dict[int, Resources] = field(default_factory=dict)
     backoff_until: float = 0.0
     sent_signature: Signature = ()
     entries: int = 1
@@ -79,16 +79,16 @@
     echoed_at: float = 0.0
     last_ended_number: int = 0
 
-    def offer(self, room: Room) -> None:
+    def offer(self, room: Resources) -> None:
         """Set the resources that the agent offers; pending assignments are deducted."""
         self._offered = room
         for taken in self._pending.values():
             room = room.minus(taken)
         self.free = room
 
-    def reserve(self, number: int, need: Room) -> None:
+    def reserve(self, number: int, need: Resources) -> None:
         """Reserve resources for an assignment that the agent has not acknowledged yet."""
-        self._pending[number] = self._pending.get(number, NO_ROOM).plus(need)
+        self._pending[number] = self._pending.get(number, NO_RESOURCES).plus(need)
         self.free = self.free.minus(need)
 
     def take_load(self, load: AgentLoad, now: float) -> None:
@@ -102,7 +102,7 @@
         self.longest_ms = load.longest_ms
         for number in [number for number in self._pending if number <= load.applied]:
             del self._pending[number]
-        self.offer(Room(load.cpu, load.mem_mb, load.gpu))
+        self.offer(Resources(load.cpu, load.mem_mb, load.gpu))
 
     def mark_echoed(self) -> None:
         """Record that the newest report is echoed, with an assignment or with claims.
@@ -138,7 +138,7 @@
     ----------
     service : str
         Service that the endpoint must run.
-    need : Room
+    need : Resources
         Resources of the task.
     requires, prefers : str
         Labels that the endpoint must have, or that are preferred; empty for none.
@@ -151,7 +151,7 @@
     """
 
     service: str
-    need: Room
+    need: Resources
     requires: str = ""
     prefers: str = ""
     avoid: frozenset[str] = frozenset()
@@ -267,7 +267,7 @@
         """Cores of announced agents that have not reported yet."""
         if not self._expected:
             return 0.0
-        reported = {node_of(agent.process) for agent in self._order if agent.state is not None}
+        reported = {instance_of(agent.process) for agent in self._order if agent.state is not None}
         self._expected = {
             node: each
             for node, each in self._expected.items()
@@ -317,6 +317,6 @@
         return slowness, busy, self._rng.random()
 
 
-def _capacity_of(agent: AgentView) -> Room:
+def _capacity_of(agent: AgentView) -> Resources:
     state = agent.state
-    return NO_ROOM if state is None else Room(state.cpu, state.mem_mb, state.gpu)
+    return NO_RESOURCES if state is None else Resources(state.cpu, state.mem_mb, state.gpu)
--- a/src/gentianmux/leased/health.py
+++ b/src/gentianmux/leased/health.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from .room import Room
+from .resources import Resources
 
 EJECT_AFTER_FAILURES = 4
 """Consecutive failed runs of different jobs after which an endpoint is ejected. A job that can
@@ -98,10 +98,10 @@
         """Whether nothing of the endpoint is offered at present."""
         return now < self._ejected_until
 
-    def offered(self, free: Room, running: int, now: float) -> Room:
+    def offered(self, free: Resources, running: int, now: float) -> Resources:
         """Return the part of the free resources that may be used."""
         if self.is_ejected(now) or (self.on_trial and running >= TRIAL_RUNS):
-            return Room()
+            return Resources()
         return free
 
     def slowness(self) -> float:
--- a/src/gentianmux/leased/job_state.py
+++ b/src/gentianmux/leased/job_state.py
@@ -5,9 +5,9 @@
 from enum import Enum
 from typing import NamedTuple
 
-from .model import How, JobSpec, QueueRules, StepSpec
+from .model import JobSpec, QueueConfig, RunOutcome, StepSpec
 from .payloads import pack
-from .room import NO_ROOM, Room
+from .resources import NO_RESOURCES, Resources
 
 FIRST_RUN_NUMBER = 1
 """Number of a task's first run."""
@@ -82,8 +82,8 @@
 class JobDemand(NamedTuple):
     """Resources that the ready tasks of a job need: all of them, and the smallest."""
 
-    total: Room
-    least: Room
+    total: Resources
+    least: Resources
 
 
 class JobState:
@@ -93,7 +93,7 @@
     ----------
     spec : JobSpec
         The job as its caller described it.
-    queue : QueueRules
+    queue : QueueConfig
         Configuration of its queue.
     now : float
         Monotonic time of its arrival, in seconds.
@@ -128,7 +128,7 @@
         Whether a task has failed too often.
     """
 
-    def __init__(self, spec: JobSpec, queue: QueueRules, now: float, deadline: float) -> None:
+    def __init__(self, spec: JobSpec, queue: QueueConfig, now: float, deadline: float) -> None:
         self.spec = spec
         self.queue = queue
         self.arrived_at = now
@@ -180,8 +180,8 @@
         """Resources that the ready tasks need."""
         if self._demand is None:
             needs = [self.step_of(task).need for task in self.ready_tasks()]
-            total = Room(*map(sum, zip(*needs, strict=True))) if needs else NO_ROOM
-            self._demand = JobDemand(total, min(needs, default=NO_ROOM))
+            total = Resources(*map(sum, zip(*needs, strict=True))) if needs else NO_RESOURCES
+            self._demand = JobDemand(total, min(needs, default=NO_RESOURCES))
         return self._demand
 
     def _invalidate(self) -> None:
@@ -213,7 +213,7 @@
         self._invalidate()
         return task.run
 
-    def end_run(self, name: str, run: int, how: How) -> bool:
+    def end_run(self, name: str, run: int, how: RunOutcome) -> bool:
         """Record how a run ended; False when the run is not, or no longer, assigned."""
         task = self.tasks.get(name)
         if task is None or task.phase is not Phase.ASSIGNED or task.run != run:
@@ -221,16 +221,16 @@
         if not how.never_ran:
             self.may_have_run = True
         self._invalidate()
-        if how is How.DONE:
+        if how is RunOutcome.DONE:
             task.phase = Phase.DONE
             self._unfinished -= 1
             return True
         task.phase = Phase.WAITING
-        if how is How.OLD_RUN:
+        if how is RunOutcome.OLD_RUN:
             task.run += OLD_RUN_INCREMENT
-        elif how not in (How.NO_ROOM, How.DRAINING):
+        elif how not in (RunOutcome.NO_ROOM, RunOutcome.DRAINING):
             task.avoid.add(task.life)
-        if how is How.FAILED:
+        if how is RunOutcome.FAILED:
             task.failures += 1
             self.failed = self.failed or task.failures >= self.queue.max_attempts
         return True
--- a/src/gentianmux/leased/model.py
+++ b/src/gentianmux/leased/model.py
@@ -3,10 +3,10 @@
 from enum import Enum, IntEnum
 from typing import NamedTuple, Protocol
 
-from .room import Room
+from .resources import Resources
 
 
-def node_of(process: str) -> str:
+def instance_of(process: str) -> str:
     """Name of the instance whose process this is."""
     return process.rpartition(".")[0]
 
@@ -18,7 +18,7 @@
     ----------
     tasks : int
         Tasks of the step.
-    need : Room
+    need : Resources
         What each of them takes.
     estimate_ms : int
         The caller's rough estimate of one task's run time.
@@ -33,7 +33,7 @@
     """
 
     tasks: int
-    need: Room
+    need: Resources
     estimate_ms: int
     after: tuple[int, ...] = ()
     requires: str = ""
@@ -49,7 +49,7 @@
     steps: tuple[StepSpec, ...]
 
 
-class QueueRules(NamedTuple):
+class QueueConfig(NamedTuple):
     """What the configuration says of one queue of jobs.
 
     Attributes
@@ -96,7 +96,7 @@
     """One version of the configuration; ``raw`` is what peers hand on to each other."""
 
     version: int
-    queues: tuple[QueueRules, ...]
+    queues: tuple[QueueConfig, ...]
     limits: RequestLimits
     raw: bytes
 
@@ -119,7 +119,7 @@
     address: str
     service: str
     failure_domain: str
-    capacity: Room
+    capacity: Resources
     labels: tuple[str, ...]
     draining: bool
     drain_remaining_s: float
@@ -127,7 +127,7 @@
     born: int = 0
 
 
-class StartVerdict(Enum):
+class StartResult(Enum):
     """What an endpoint said to a start."""
 
     STARTED = "started"
@@ -139,7 +139,7 @@
     NO_ANSWER = "no_answer"
 
 
-class How(IntEnum):
+class RunOutcome(IntEnum):
     """How a run left an agent; the first four prove that it did nothing."""
 
     NO_ROOM = 1
@@ -155,7 +155,7 @@
     @property
     def never_ran(self) -> bool:
         """Whether the run did not start and never will."""
-        return self < How.DONE
+        return self < RunOutcome.DONE
 
 
 class ActiveRun(NamedTuple):
@@ -166,13 +166,13 @@
     percent: float
 
 
-class EndedRow(NamedTuple):
+class EndRecord(NamedTuple):
     """An end that an endpoint lists until it is acknowledged by ``number``."""
 
     number: int
     task: str
     run: int
-    how: How
+    how: RunOutcome
 
 
 class HoldReply(NamedTuple):
@@ -180,7 +180,7 @@
 
     asked_at: float
     active: tuple[ActiveRun, ...]
-    ended: tuple[EndedRow, ...]
+    ended: tuple[EndRecord, ...]
 
 
 class EndpointGone(Exception):
@@ -221,7 +221,7 @@
 
     def start(
         self, task: str, run: int, payload: str, lease_s: float, asked_at: float
-    ) -> StartVerdict:
+    ) -> StartResult:
         """Start a run under a lease that counts from ``asked_at``, monotonic; never raises.
 
         The endpoint refuses a start that reaches it after that lease, so a process that stood
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -8,11 +8,11 @@
 from .admission import Admission
 from .candidates import Candidates
 from .claiming import signature
-from .entry_board import EntryBoard
+from .entry_board import EntryContext
 from .fleet_view import AgentView, Wish
 from .job_state import TASK_OVERHEAD_BYTES, JobState, TaskState
-from .model import How
-from .room import NO_ROOM, Room
+from .model import RunOutcome
+from .resources import NO_RESOURCES, Resources
 from .run_ends import RunEnds
 
 CLAIM_INTERVAL_S = 0.02
@@ -29,7 +29,7 @@
 
     Parameters
     ----------
-    board : EntryBoard
+    ctx : EntryContext
         Jobs and agents of the entry.
     completions : RunEnds
         Takes back runs that could not be sent.
@@ -42,9 +42,9 @@
     """
 
     def __init__(
-        self, board: EntryBoard, completions: RunEnds, admissions: defaultdict[str, Admission]
+        self, ctx: EntryContext, completions: RunEnds, admissions: defaultdict[str, Admission]
     ) -> None:
-        self._board = board
+        self._ctx = ctx
         self._completions = completions
         self._admissions = admissions
         self._is_scheduled = False
@@ -52,9 +52,9 @@
 
     def place_soon(self) -> None:
         """Place after the current event has been handled."""
-        if self._board.backlog and not self._is_scheduled:
+        if self._ctx.backlog and not self._is_scheduled:
             self._is_scheduled = True
-            self._board.clock.soon(self._place_scheduled)
+            self._ctx.clock.call_soon(self._place_scheduled)
 
     def _place_scheduled(self) -> None:
         self._is_scheduled = False
@@ -66,9 +66,9 @@
         Smaller tasks of less urgent jobs use resources that are too small for the urgent ones and
         would otherwise stay idle.
         """
-        now = self._board.clock.now()
+        now = self._ctx.clock.now()
         assignments: dict[str, list[LeasedTask]] = defaultdict(list)
-        for service in self._board.backlog.services():
+        for service in self._ctx.backlog.services():
             self._place_service(service, assignments, now)
         for process, tasks in assignments.items():
             self._assign(process, tasks)
@@ -78,13 +78,13 @@
     def _place_service(
         self, service: str, assignments: dict[str, list[LeasedTask]], now: float
     ) -> None:
-        view = self._board.view
+        view = self._ctx.view
         candidates = Candidates(view, view.willing(service, now))
-        too_large: Room | None = None
+        too_large: Resources | None = None
         planned_bytes = 0
-        for job in self._board.backlog.jobs_of(service) if len(candidates) else ():
-            if planned_bytes >= self._board.window.available_bytes():
-                self._board.window.record_blocked(now)
+        for job in self._ctx.backlog.jobs_of(service) if len(candidates) else ():
+            if planned_bytes >= self._ctx.window.available_bytes():
+                self._ctx.window.record_blocked(now)
                 break
             need = job.demand.least
             if now >= job.deadline or not job.ready_tasks():
@@ -96,7 +96,7 @@
             planned_bytes += (before - len(job.ready_tasks())) * job.bytes_per_task
             if not placed and not candidates.has_resources(need):
                 too_large = need
-                if candidates.max_free_cpu < self._board.backlog.least_cpu(service):
+                if candidates.max_free_cpu < self._ctx.backlog.least_cpu(service):
                     break
 
     def _place_job(
@@ -113,20 +113,20 @@
         if chosen and not began:
             self._admissions[job.queue.service].record_begin(job, now)
         if chosen:
-            oldest = min(self._board.view.of(process).heard_at for process in chosen)
+            oldest = min(self._ctx.view.of(process).heard_at for process in chosen)
             logger.bind(
                 job=job.spec.job_id,
                 agents=dict(chosen),
                 with_room=len(candidates),
                 load_age_ms=round((now - oldest) * 1000, 1),
                 waited_ms=round((now - job.arrived_at) * 1000, 1),
-                config_version=self._board.feed.version,
+                config_version=self._ctx.feed.version,
             ).info("runs placed")
         if placed:
-            self._board.backlog.discard(job)
+            self._ctx.backlog.discard(job)
         elif chosen:
             # Jobs that have begun precede those that have not.
-            self._board.backlog.put(job)
+            self._ctx.backlog.put(job)
         return placed
 
     def _place_tasks(
@@ -149,7 +149,7 @@
             step = job.step_of(task)
             number = agent.last_assigned_number + 1
             agent.reserve(number, step.need)
-            self._board.assigned_runs[agent.process][(task.name, run)] = job
+            self._ctx.assigned_runs[agent.process][(task.name, run)] = job
             assignments[agent.process].append(
                 LeasedTask(task.name, run, 0, *step.need, step.estimate_ms)
             )
@@ -170,32 +170,32 @@
 
     def _avoided_incarnations(self, job: JobState, task: TaskState, now: float) -> frozenset[str]:
         """Endpoint incarnations that a task avoids; none when no others serve its service."""
-        willing = self._board.view.willing(job.queue.service, now)
+        willing = self._ctx.view.willing(job.queue.service, now)
         others = any(a.state is not None and a.state.life not in task.avoid for a in willing)
         return frozenset(task.avoid) if others else frozenset()
 
     def _assign(self, process: str, tasks: list[LeasedTask]) -> None:
-        agent = self._board.view.of(process)
+        agent = self._ctx.view.of(process)
         agent.last_assigned_number += 1
-        self._board.metrics.count("runs_assigned", len(tasks))
-        claims = [] if agent.state is None else self._board.claims(agent.state.service)
+        self._ctx.metrics.count("runs_assigned", len(tasks))
+        claims = [] if agent.state is None else self._ctx.claims(agent.state.service)
         agent.sent_signature = signature(claims)
         agent.mark_echoed()
         tasks, payloads = self._with_payloads(process, tasks)
         msg = Assign(agent.newest_load, agent.last_assigned_number, tasks, claims, payloads)
-        sent = self._board.links.send(process, msg)
+        sent = self._ctx.links.send(process, msg)
         if sent:
             size = sum(map(len, payloads)) + len(tasks) * TASK_OVERHEAD_BYTES
-            self._board.window.sent(process, msg.number, size, self._board.clock.now())
+            self._ctx.window.sent(process, msg.number, size, self._ctx.clock.now())
         else:
             for task in tasks:
-                self._completions.record_end(process, task.name, task.run, How.NOT_STARTED)
+                self._completions.record_end(process, task.name, task.run, RunOutcome.NOT_STARTED)
 
     def _with_payloads(
         self, process: str, tasks: list[LeasedTask]
     ) -> tuple[list[LeasedTask], list[bytes]]:
         """Return the tasks with the numbers of their payloads, and each job's payload once."""
-        assigned_runs = self._board.assigned_runs[process]
+        assigned_runs = self._ctx.assigned_runs[process]
         numbers: dict[str, int] = {}
         numbered = []
         payloads: list[bytes] = []
@@ -210,25 +210,25 @@
 
     def _send_claims(self, now: float) -> None:
         """Send claims to all agents when tasks of another urgency class start to wait."""
-        if not self._board.backlog or now - self._claims_sent_at < CLAIM_INTERVAL_S:
+        if not self._ctx.backlog or now - self._claims_sent_at < CLAIM_INTERVAL_S:
             return
         self._claims_sent_at = now
-        for service in self._board.backlog.services():
-            current = signature(self._board.claims(service))
-            for agent in self._board.view.serving(service, now):
+        for service in self._ctx.backlog.services():
+            current = signature(self._ctx.claims(service))
+            for agent in self._ctx.view.serving(service, now):
                 if agent.sent_signature != current:
-                    self._board.echo(agent)
+                    self._ctx.echo(agent)
 
     def _return_unused(self) -> None:
         """Return granted resources that no waiting task fits into.
 
         Kept until the grants expire, they would be idle while other entries wait for them.
         """
-        for agent in self._board.view.agents.values():
+        for agent in self._ctx.view.agents.values():
             if agent.sent_signature and agent.free.cpu > 0 and not self._is_useful(agent):
-                agent.offer(NO_ROOM)
-                self._board.echo(agent, gives_back=True)
+                agent.offer(NO_RESOURCES)
+                self._ctx.echo(agent, gives_back=True)
 
     def _is_useful(self, agent: AgentView) -> bool:
-        claims = [] if agent.state is None else self._board.claims(agent.state.service)
+        claims = [] if agent.state is None else self._ctx.claims(agent.state.service)
         return any(claim.least_cpu <= agent.free.cpu for claim in claims)
--- a/src/gentianmux/leased/run_ends.py
+++ b/src/gentianmux/leased/run_ends.py
@@ -3,9 +3,9 @@
 from loguru import logger
 
 from ..messages import Holding, RunRef, Withdraw
-from .entry_board import EntryBoard
+from .entry_board import EntryContext
 from .job_state import Outcome
-from .model import How, node_of
+from .model import RunOutcome, instance_of
 from .ticket import Verdict
 
 REFUSAL_BACKOFF_S = 0.05
@@ -17,7 +17,7 @@
 
     Parameters
     ----------
-    board : EntryBoard
+    ctx : EntryContext
         Jobs and their assigned runs.
 
     Attributes
@@ -26,9 +26,9 @@
         Monotonic time at which the present connection of each agent's process was opened.
     """
 
-    def __init__(self, board: EntryBoard) -> None:
+    def __init__(self, ctx: EntryContext) -> None:
         self.opened_at: dict[str, float] = {}
-        self._board = board
+        self._ctx = ctx
 
     def reconcile(self, msg: Holding, agent: str) -> None:
         """Compare the runs that an agent holds with those assigned to it, after a reconnect.
@@ -40,46 +40,46 @@
         opened_at = self.opened_at.get(agent, 0.0)
         missing = [
             (name, run)
-            for (name, run), job in self._board.assigned_runs[agent].items()
+            for (name, run), job in self._ctx.assigned_runs[agent].items()
             if (name, run) not in held and job.tasks[name].sent_at < opened_at
         ]
         # Their withdrawal may have been lost with the connection, and their tasks run elsewhere.
-        unwanted = [key for key in held if key not in self._board.assigned_runs[agent]]
+        unwanted = [key for key in held if key not in self._ctx.assigned_runs[agent]]
         if missing or unwanted:
             refs = [RunRef(*key) for key in sorted([*missing, *unwanted])]
-            self._board.links.send(agent, Withdraw(refs))
+            self._ctx.links.send(agent, Withdraw(refs))
 
-    def record_end(self, agent: str, name: str, run: int, how: How) -> None:
+    def record_end(self, agent: str, name: str, run: int, how: RunOutcome) -> None:
         """Record how a run of an agent ended."""
-        job = self._board.assigned_runs[agent].pop((name, run), None)
+        job = self._ctx.assigned_runs[agent].pop((name, run), None)
         if job is None or not job.end_run(name, run, how):
-            self._board.metrics.count("late_ends", label=how.name.lower())
+            self._ctx.metrics.count("late_ends", label=how.name.lower())
             return
-        self._board.metrics.count("runs_back", label=how.name.lower())
-        if how in (How.NOT_STARTED, How.DRAINING):
-            self._board.view.of(agent).backoff_until = self._board.clock.now() + REFUSAL_BACKOFF_S
-        if how not in (How.DONE, How.NO_ROOM):
+        self._ctx.metrics.count("runs_back", label=how.name.lower())
+        if how in (RunOutcome.NOT_STARTED, RunOutcome.DRAINING):
+            self._ctx.view.of(agent).backoff_until = self._ctx.clock.now() + REFUSAL_BACKOFF_S
+        if how not in (RunOutcome.DONE, RunOutcome.NO_ROOM):
             logger.bind(task=name, run=run, peer=agent, how=how.name.lower()).info("run came back")
         if job.failed:
-            self._board.finish(job, Verdict(Outcome.FAILED, f"{name} failed too often"))
+            self._ctx.finish(job, Verdict(Outcome.FAILED, f"{name} failed too often"))
         elif job.is_done:
-            self._board.finish(job, Verdict(Outcome.COMPLETED, "every task is done"))
-        elif job.ready_tasks() and job.spec.job_id in self._board.jobs:
-            self._board.backlog.put(job)
+            self._ctx.finish(job, Verdict(Outcome.COMPLETED, "every task is done"))
+        elif job.ready_tasks() and job.spec.job_id in self._ctx.jobs:
+            self._ctx.backlog.put(job)
 
     def lose_earlier_processes(self, agent: str) -> None:
         """End the runs of earlier processes of an agent's instance, which the agent has stopped."""
-        for process in list(self._board.view.agents):
-            if process != agent and node_of(process) == node_of(agent):
+        for process in list(self._ctx.view.agents):
+            if process != agent and instance_of(process) == instance_of(agent):
                 self.lose_process(process, "a later process of the agent is at work")
 
     def lose_process(self, process: str, reason: str) -> None:
         """End all runs of an agent's process, of which none can be at work any more."""
-        self._board.view.remove_agent(process)
-        held = list(self._board.assigned_runs[process])
+        self._ctx.view.remove_agent(process)
+        held = list(self._ctx.assigned_runs[process])
         if held:
             logger.bind(peer=process, runs=len(held), reason=reason).warning("runs lost")
         for name, run in held:
-            self.record_end(process, name, run, How.LOST)
-        self._board.assigned_runs.pop(process, None)
+            self.record_end(process, name, run, RunOutcome.LOST)
+        self._ctx.assigned_runs.pop(process, None)
         self.opened_at.pop(process, None)
--- a/src/gentianmux/leased/run_table.py
+++ b/src/gentianmux/leased/run_table.py
@@ -5,9 +5,9 @@
 from enum import Enum
 from typing import NamedTuple
 
-from .model import HoldReply, How
+from .model import HoldReply, RunOutcome
 from .progress import Progress
-from .room import Room, RoomAccount
+from .resources import ResourcePool, Resources
 
 RunKey = tuple[str, int]
 """A task's name and the number of its run."""
@@ -42,12 +42,12 @@
 
     key: RunKey
     entry: str
-    need: Room
+    need: Resources
     estimate_ms: int
     began: float
     phase: Phase = Phase.STARTING
     answered_at: float = 0.0
-    stop_why: How = How.STOPPED
+    stop_why: RunOutcome = RunOutcome.STOPPED
     stopped_at: float | None = None
     listed: bool = False
     carried: bool = False
@@ -64,7 +64,7 @@
     """A run that is gone, and how."""
 
     run: Run
-    how: How
+    how: RunOutcome
 
 
 class RunTable:
@@ -76,8 +76,8 @@
     Examples
     --------
     >>> table = RunTable()
-    >>> table.reset(Room(2000, 64))
-    >>> table.begin(("t", 1), "e1", Room(1600, 64), 100, now=0.0)
+    >>> table.reset(Resources(2000, 64))
+    >>> table.begin(("t", 1), "e1", Resources(1600, 64), 100, now=0.0)
     True
     >>> table.room.free.cpu
     400
@@ -85,16 +85,16 @@
 
     def __init__(self) -> None:
         self.runs: dict[RunKey, Run] = {}
-        self.room = RoomAccount()
+        self.room = ResourcePool()
         self.acknowledged = 0
         self.foreign: set[RunKey] = set()
         self.looked = False
         self._stop_asked: dict[RunKey, float] = {}
 
-    def reset(self, capacity: Room) -> None:
+    def reset(self, capacity: Resources) -> None:
         """Begin with another life of the endpoint, which runs nothing of ours."""
         self.runs.clear()
-        self.room = RoomAccount(capacity)
+        self.room = ResourcePool(capacity)
         self.acknowledged = 0
         self.foreign = set()
         self.looked = False
@@ -110,7 +110,7 @@
             run.carried = True
             run.stopped_at = None
             if run.stop_why.never_ran:
-                run.stop_why = How.LOST
+                run.stop_why = RunOutcome.LOST
         self.acknowledged = 0
         self.foreign = set()
         self.looked = False
@@ -121,9 +121,9 @@
         """Whether the endpoint was looked at and runs nothing that an earlier agent began."""
         return self.looked and not self.foreign
 
-    def begin(self, key: RunKey, entry: str, need: Room, estimate_ms: int, now: float) -> bool:
+    def begin(self, key: RunKey, entry: str, need: Resources, estimate_ms: int, now: float) -> bool:
         """Take room for a run about to be started; false when there is none."""
-        if key in self.runs or not self.room.take(key, need):
+        if key in self.runs or not self.room.allocate(key, need):
             return False
         self.runs[key] = Run(key, entry, need, estimate_ms, now, progress=Progress(now))
         return True
@@ -144,7 +144,7 @@
             if run.phase is Phase.STARTING:
                 run.phase = Phase.RUNNING
 
-    def refused(self, key: RunKey, how: How) -> Finished | None:
+    def refused(self, key: RunKey, how: RunOutcome) -> Finished | None:
         """Note that the endpoint refused a start, which proves that it did nothing."""
         return self._finish(key, how)
 
@@ -155,7 +155,7 @@
             run.phase = Phase.DOUBTFUL
             run.answered_at = now
 
-    def want_stopped(self, key: RunKey, why: How) -> bool:
+    def want_stopped(self, key: RunKey, why: RunOutcome) -> bool:
         """Mark a run to be stopped; false when it is gone or being stopped."""
         run = self.runs.get(key)
         if run is None or run.phase is Phase.STOPPING:
@@ -207,9 +207,9 @@
             run = self.runs.get((row.task, row.run))
             if run is None:
                 continue
-            how = run.stop_why if row.how is How.STOPPED else row.how
+            how = run.stop_why if row.how is RunOutcome.STOPPED else row.how
             # A run that did begin is never reported as one that did nothing.
-            how = How.STOPPED if how.never_ran else how
+            how = RunOutcome.STOPPED if how.never_ran else how
             done = self._finish(run.key, how)
             if done is not None:
                 yield done
@@ -222,15 +222,15 @@
             run.phase = Phase.RUNNING
             run.answered_at = now
         if run.phase is Phase.STOPPING and run.stop_why.never_ran:
-            run.stop_why = How.STOPPED
+            run.stop_why = RunOutcome.STOPPED
 
     def _not_listed(self, run: Run, asked_at: float) -> Iterator[Finished]:
         if run.phase is Phase.DOUBTFUL and asked_at > run.answered_at:
-            self.want_stopped(run.key, How.LOST if run.carried else How.NOT_STARTED)
+            self.want_stopped(run.key, RunOutcome.LOST if run.carried else RunOutcome.NOT_STARTED)
         elif run.phase is Phase.RUNNING and asked_at > run.answered_at:
             run.missing += 1
             if run.missing >= MISSING_LOOKS:
-                self.want_stopped(run.key, How.LOST)
+                self.want_stopped(run.key, RunOutcome.LOST)
         elif run.stopped_at is not None and asked_at > run.stopped_at:
             done = self._finish(run.key, run.stop_why)
             if done is not None:
@@ -241,12 +241,12 @@
         return self._lose(list(self.runs))
 
     def _lose(self, keys: list[RunKey]) -> list[Finished]:
-        finished = [self._finish(key, How.LOST) for key in keys]
+        finished = [self._finish(key, RunOutcome.LOST) for key in keys]
         return [each for each in finished if each is not None]
 
-    def _finish(self, key: RunKey, how: How) -> Finished | None:
+    def _finish(self, key: RunKey, how: RunOutcome) -> Finished | None:
         run = self.runs.pop(key, None)
         if run is None:
             return None
-        self.room.give_back(key)
+        self.room.release(key)
         return Finished(run, how)
--- a/src/gentianmux/board.py
+++ b/src/gentianmux/node_context.py
@@ -23,11 +23,11 @@
     from .log_watch import LogWatch
     from .peers import Peers
     from .placement import Placement
-    from .shard_keeper import ShardKeeper
+    from .shard_keeper import ShardManager
     from .witness import Witness
 
 
-class Board:
+class NodeContext:
     """The one object that is passed whole to every controller.
 
     Parameters
@@ -44,12 +44,12 @@
     Notes
     -----
     Controllers put themselves on the board: ``peers`` everywhere, ``dispatcher`` at entries,
-    ``keeper``, ``coordinator`` and ``executor`` at agents.
+    ``shard_manager``, ``coordinator`` and ``executor`` at agents.
     """
 
     peers: "Peers"
     dispatcher: "Dispatcher"
-    keeper: "ShardKeeper"
+    shard_manager: "ShardKeeper"
     coordinator: "Coordinator"
     executor: "Executor"
     witness: "Witness"
--- a/src/gentianmux/platform/endpoint.py
+++ b/src/gentianmux/platform/endpoint.py
@@ -9,16 +9,16 @@
 from ..leased.chain import CLOCK_DRIFT
 from ..leased.model import (
     ActiveRun,
-    EndedRow,
     EndpointGone,
     EndpointReport,
     EndpointStartedAgain,
+    EndRecord,
     HoldReply,
-    How,
     NoAnswer,
-    StartVerdict,
+    RunOutcome,
+    StartResult,
 )
-from ..leased.room import Room
+from ..leased.resources import Resources
 from ..typed_json import number, read_object, table, text, texts, whole
 from .http_call import HttpCaller, HttpReply
 
@@ -51,17 +51,17 @@
 _STATES = ("ready", "draining")
 
 _HOW = {
-    "done": How.DONE,
-    "failed": How.FAILED,
-    "stopped": How.STOPPED,
-    "lapsed": How.LOST,
-    "broken": How.STOPPED,
-    "alone": How.STOPPED,
+    "done": RunOutcome.DONE,
+    "failed": RunOutcome.FAILED,
+    "stopped": RunOutcome.STOPPED,
+    "lapsed": RunOutcome.LOST,
+    "broken": RunOutcome.STOPPED,
+    "alone": RunOutcome.STOPPED,
 }
 
 _REFUSED = {
-    "old": StartVerdict.OLD_RUN,
-    "room": StartVerdict.NO_ROOM,
+    "old": StartResult.OLD_RUN,
+    "room": StartResult.NO_ROOM,
 }
 
 
@@ -84,7 +84,7 @@
         service=text(content, "service"),
         # ``zone`` is what this project calls a failure domain.
         failure_domain=text(content, "zone"),
-        capacity=Room(whole(room, "cpu"), whole(room, "mem_mb"), whole(room, "gpu", 0)),
+        capacity=Resources(whole(room, "cpu"), whole(room, "mem_mb"), whole(room, "gpu", 0)),
         labels=texts(content, "labels"),
         draining=state == "draining",
         drain_remaining_s=number(content, "drain_remaining_ms", 0) / 1000,
@@ -171,28 +171,28 @@
 
     def start(
         self, task: str, run: int, payload: str, lease_s: float, asked_at: float
-    ) -> StartVerdict:
+    ) -> StartResult:
         """Start a run under a lease that counts from ``asked_at``."""
         until_ms = self._until(lease_s, asked_at)
         content = {"task": task, "run": run, "spec": payload, "until_ms": until_ms}
         try:
             reply = self._call(self._orders, "/v1/run-start", content, START_S)
             if reply.status == 200:
-                return StartVerdict.STARTED
+                return StartResult.STARTED
             if reply.status == REPLACED:
-                return StartVerdict.REPLACED
+                return StartResult.REPLACED
             if reply.status in (429, 503):
-                return StartVerdict.UNHEALTHY
+                return StartResult.UNHEALTHY
             if reply.status == 400:
-                return StartVerdict.REFUSED
+                return StartResult.REFUSED
             if reply.status == 409:
                 reason = str(reply.json().get("reason"))
-                return _REFUSED.get(reason, StartVerdict.REFUSED)
+                return _REFUSED.get(reason, StartResult.REFUSED)
         except NoAnswer as exc:
             logger.bind(task=task, run=run, reason=str(exc)).debug("no answer to a start")
-            return StartVerdict.NO_ANSWER
+            return StartResult.NO_ANSWER
         logger.bind(task=task, run=run, status=reply.status).warning("foreign answer to a start")
-        return StartVerdict.NO_ANSWER
+        return StartResult.NO_ANSWER
 
     def stop(self, task: str, run: int) -> bool:
         """Stop a run, present or still on its way; whether the endpoint confirmed it."""
@@ -278,7 +278,7 @@
         # A row's third field is its checkpoint; no job served here asks for any.
         active = tuple(ActiveRun(str(r[0]), int(r[1]), float(r[3])) for r in content["active"])
         ended = tuple(
-            EndedRow(int(r[0]), str(r[1]), int(r[2]), _HOW.get(r[3], How.STOPPED))
+            EndRecord(int(r[0]), str(r[1]), int(r[2]), _HOW.get(r[3], RunOutcome.STOPPED))
             for r in content["ended_runs"]
         )
     except (KeyError, TypeError, ValueError, IndexError) as exc:
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -13,15 +13,15 @@
 from gentianmux.leased.candidates import Candidates
 from gentianmux.leased.fleet_view import AgentView, FleetView, Wish
 from gentianmux.leased.job_state import JobState, Prospect
-from gentianmux.leased.model import How, JobSpec, QueueRules, StepSpec
-from gentianmux.leased.room import Room
+from gentianmux.leased.model import JobSpec, QueueConfig, RunOutcome, StepSpec
+from gentianmux.leased.resources import Resources
 from gentianmux.messages import AgentLoad, EndpointState
 
-QUEUE = QueueRules("q", "h", "/q/", "s", 5000, 60, 0, 3, 1.6)
+QUEUE = QueueConfig("q", "h", "/q/", "s", 5000, 60, 0, 3, 1.6)
 
 
 def job(number: int, rng: Random) -> JobState:
-    steps = (StepSpec(rng.randint(1, 4), Room(rng.randrange(800, 1800), 64), 100),)
+    steps = (StepSpec(rng.randint(1, 4), Resources(rng.randrange(800, 1800), 64), 100),)
     queue = QUEUE._replace(priority=rng.randrange(3), service=rng.choice("st"))
     return JobState(JobSpec(f"{number:016x}", "", steps), queue, rng.random(), 9.0)
 
@@ -32,7 +32,7 @@
         one.assign(one.ready_tasks()[0], "w0", "x0", 1.0)
     elif one.assigned_tasks():
         task = one.assigned_tasks()[0]
-        one.end_run(task.name, task.run, How.NO_ROOM)
+        one.end_run(task.name, task.run, RunOutcome.NO_ROOM)
     else:
         one.prospect = Prospect.LATE
 
@@ -103,7 +103,7 @@
     candidates = Candidates(view, serving)
     for number in range(40):
         avoid = frozenset({"x1", "x4"}) if rng.random() < 0.2 else frozenset()
-        wish = Wish("s", Room(rng.randrange(400, 5000), 64), avoid=avoid, estimate_ms=100)
+        wish = Wish("s", Resources(rng.randrange(400, 5000), 64), avoid=avoid, estimate_ms=100)
         best = view.choose(wish, serving)
         taken = candidates.take(wish)
         assert (taken is None) == (best is None)
@@ -117,13 +117,13 @@
 def test_reserved_resources_are_deducted_until_reported() -> None:
     agent = AgentView("w0.1")
     agent.take_load(AgentLoad(1, 0, 8000, 100, 0, 100, 1, 1, 9000), 1.0)
-    agent.reserve(1, Room(3000, 10))
-    agent.reserve(2, Room(1000, 10))
-    assert agent.free == Room(4000, 80)
+    agent.reserve(1, Resources(3000, 10))
+    agent.reserve(2, Resources(1000, 10))
+    assert agent.free == Resources(4000, 80)
     agent.take_load(AgentLoad(2, 1, 5000, 90, 0, 100, 1, 1, 9000), 1.1)
-    assert agent.free == Room(4000, 80)
+    assert agent.free == Resources(4000, 80)
     agent.take_load(AgentLoad(3, 2, 4000, 80, 0, 100, 1, 1, 9000), 1.2)
-    assert agent.free == Room(4000, 80)
+    assert agent.free == Resources(4000, 80)
 
 
 def test_cost_of_a_job_hardly_grows_with_backlog_and_fleet() -> None:
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -23,17 +23,17 @@
 from gentianmux.leased.fleet_view import MAX_AGENTS_PER_ROUND, FleetView, Wish
 from gentianmux.leased.health import EJECT_AFTER_FAILURES, EndpointHealth
 from gentianmux.leased.job_state import JobState, Phase, Prospect
-from gentianmux.leased.model import How, JobSpec, QueueRules, StepSpec
+from gentianmux.leased.model import JobSpec, QueueConfig, RunOutcome, StepSpec
 from gentianmux.leased.progress import STALL_S, Progress
-from gentianmux.leased.room import Room, RoomAccount
+from gentianmux.leased.resources import ResourcePool, Resources
 from gentianmux.leased.settings import LeasedSettings, lease_s
 from gentianmux.messages import AgentLoad, EndpointState
 
-QUEUE = QueueRules("q", "h", "/q/", "s", 5000, 60, 0, 3, 1.6)
+QUEUE = QueueConfig("q", "h", "/q/", "s", 5000, 60, 0, 3, 1.6)
 
 
 def job(number: int = 1, tasks: int = 2, estimate_ms: int = 400, arrived: float = 0.0) -> JobState:
-    spec = JobSpec(f"{number:016x}", "", (StepSpec(tasks, Room(1600, 64), estimate_ms),))
+    spec = JobSpec(f"{number:016x}", "", (StepSpec(tasks, Resources(1600, 64), estimate_ms),))
     return JobState(spec, QUEUE, arrived, arrived + 5.0)
 
 
@@ -44,16 +44,16 @@
 def test_allocations_never_exceed_capacity_and_are_all_released(
     steps: list[tuple[int, int, bool]],
 ) -> None:
-    account = RoomAccount(Room(10, 10))
+    account = ResourcePool(Resources(10, 10))
     for run, size, takes in steps:
         if takes:
-            account.take((str(run), 1), Room(size, 1))
+            account.allocate((str(run), 1), Resources(size, 1))
         else:
-            account.give_back((str(run), 1))
+            account.release((str(run), 1))
         assert account.capacity.fits(account.used)
     for run in range(10):
-        account.give_back((str(run), 1))
-    assert account.used == Room()
+        account.release((str(run), 1))
+    assert account.used == Resources()
 
 
 # Entry leases
@@ -92,12 +92,12 @@
     for number in range(EJECT_AFTER_FAILURES):
         health.ended(str(number), True, None, 0.0)
     assert health.is_ejected(0.9)
-    assert health.offered(Room(9), 0, 1.1) == Room(9)
-    assert health.offered(Room(9), 1, 1.1) == Room()
+    assert health.offered(Resources(9), 0, 1.1) == Resources(9)
+    assert health.offered(Resources(9), 1, 1.1) == Resources()
     health.ended("x", True, None, 1.2)
     assert health.is_ejected(2.5)
     health.ended("y", False, 1.0, 3.0)
-    assert health.offered(Room(9), 5, 3.0) == Room(9)
+    assert health.offered(Resources(9), 5, 3.0) == Resources(9)
 
 
 def test_a_run_is_stalled_only_without_progress() -> None:
@@ -124,7 +124,7 @@
 
 def test_the_fastest_then_least_loaded_agent_is_chosen() -> None:
     view = fleet(1.0, {"a": 2000, "b": 9000, "c": 16000}, {"c": 300})
-    wish = Wish("s", Room(1600, 64))
+    wish = Wish("s", Resources(1600, 64))
     chosen = view.choose(wish, view.willing("s", 1.0))
     assert chosen is not None
     assert chosen.process == "b.1"
@@ -137,10 +137,10 @@
 def test_resources_assigned_since_the_last_report_are_not_assigned_again() -> None:
     view = fleet(1.0, {"a": 3000})
     agent = view.of("a.1")
-    agent.reserve(1, Room(1600, 64))
-    assert view.choose(Wish("s", Room(1600, 64)), view.willing("s", 1.0)) is None
+    agent.reserve(1, Resources(1600, 64))
+    assert view.choose(Wish("s", Resources(1600, 64)), view.willing("s", 1.0)) is None
     agent.take_load(AgentLoad(2, 1, 3000, 999, 0, 100, 1, 1, 9000), 1.1)
-    assert view.choose(Wish("s", Room(1600, 64)), view.willing("s", 1.1)) is agent
+    assert view.choose(Wish("s", Resources(1600, 64)), view.willing("s", 1.1)) is agent
 
 
 def test_a_silent_agent_gets_no_runs_and_expires_after_every_lease() -> None:
@@ -155,20 +155,29 @@
 
 
 def test_a_step_waits_for_the_steps_before_it() -> None:
-    first = StepSpec(2, Room(100, 1), 100)
-    second = StepSpec(1, Room(100, 1), 300, after=(0,))
+    first = StepSpec(2, Resources(100, 1), 100)
+    second = StepSpec(1, Resources(100, 1), 300, after=(0,))
     state = JobState(JobSpec("a" * 16, "", (first, second)), QUEUE, 0.0, 5.0)
     assert state.critical_path_s == pytest.approx(0.4)
     names = [task.name for task in state.ready_tasks()]
     assert names == [f"{'a' * 16}.0.0.0", f"{'a' * 16}.0.0.1"]
     for task in list(state.ready_tasks()):
         state.assign(task, "w", "x", 0.0)
-        state.end_run(task.name, task.run, How.DONE)
+        state.end_run(task.name, task.run, RunOutcome.DONE)
     assert [task.step for task in state.ready_tasks()] == [1]
 
 
-@pytest.mark.parametrize("how", [How.NO_ROOM, How.NOT_STARTED, How.OLD_RUN, How.LOST, How.STALLED])
-def test_only_failed_runs_count_as_attempts(how: How) -> None:
+@pytest.mark.parametrize(
+    "how",
+    [
+        RunOutcome.NO_ROOM,
+        RunOutcome.NOT_STARTED,
+        RunOutcome.OLD_RUN,
+        RunOutcome.LOST,
+        RunOutcome.STALLED,
+    ],
+)
+def test_only_failed_runs_count_as_attempts(how: RunOutcome) -> None:
     state = job(tasks=1)
     for _ in range(10):
         (task,) = state.ready_tasks()
@@ -327,7 +336,7 @@
     agent = view.of("w1.5")
     agent.state = EndpointState("x", "s", "fd", 16000, 1000, 0, [], True)
     agent.take_load(AgentLoad(1, 0, 16000, 1000, 0, 100, 1, 1, 400), 10.0)
-    wish = Wish("s", Room(1600, 64), estimate_ms=400)
+    wish = Wish("s", Resources(1600, 64), estimate_ms=400)
     assert view.choose(wish, view.willing("s", 10.0)) is agent
     assert view.choose(wish._replace(estimate_ms=401), view.willing("s", 10.0)) is None
 
