--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -313,7 +313,7 @@
         """Sort key of agents: the faster first, then the less loaded, then at random."""
         slowness = round(max(agent.slowness, 1.0) / SLOWNESS_STEP)
         capacity = _capacity_of(agent)
-        busy = capacity.minus(agent.free).share_of(capacity)
+        busy = capacity.minus(agent.free).dominant_share(capacity)
         return slowness, busy, self._rng.random()
 
 
