--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -23,7 +23,7 @@
 from .config_feed import ConfigFeed
 from .config_transfer import ConfigHanding
 from .entry_context import EntryContext
-from .evacuation_sharing import EvacuationSharing
+from .evacuation_broadcast import EvacuationSharing
 from .evacuations import Evacuations
 from .fleet_view import FleetView
 from .job_state import JobState, Outcome, estimate_critical_path_s
@@ -91,7 +91,7 @@
         self._sharing = EvacuationSharing(feed.evacuations, links, self._on_evacuations)
         self._completions = RunEnds(self._ctx)
         self._admission_controller = Admitting(self._ctx)
-        self._placing = Placing(self._ctx, self._completions, self._admission_controller.admissions)
+        self._placer = Placing(self._ctx, self._completions, self._admission_controller.admissions)
         self.leaving = False
         self._leaves_at = float("inf")
         self._idle_since: float | None = None
@@ -135,7 +135,7 @@
         self._ctx.backlog.put(job)
         self._ctx.metrics.count("jobs_admitted")
         self._admission_controller.admissions[queue.service].record_arrival(job, now)
-        self._placing.place()
+        self._placer.place()
         return ticket
 
     def now(self) -> float:
@@ -173,7 +173,7 @@
         self._ctx.window.acknowledged(agent, msg.applied, now)
         self._handing.heard_of(agent, msg.config_version)
         if view.free.cpu > 0:
-            self._placing.place_soon()
+            self._placer.place_soon()
         # Return resources that are granted to tasks that no longer wait.
         gives_back = not self._ctx.backlog and bool(view.sent_signature)
         if gives_back or self._ctx.clock.now() - view.echoed_at >= ECHO_GAP_S:
@@ -187,11 +187,11 @@
         view.heard_at = self._ctx.clock.now()
         if before != msg:
             logger.bind(
-                peer=agent, endpoint=msg.life, accepting=msg.accepting, service=msg.service
+                peer=agent, endpoint=msg.incarnation, accepting=msg.accepting, service=msg.service
             ).info("endpoint state")
         if msg.accepting:
             self._completions.lose_earlier_processes(agent)
-        self._placing.place_soon()
+        self._placer.place_soon()
 
     @on_message.register
     def _(self, msg: EndedRuns, agent: str) -> None:
@@ -203,7 +203,7 @@
         if view.is_shutting_down:
             # A stopping agent ends once its last runs are acknowledged.
             self._ctx.echo(view)
-        self._placing.place_soon()
+        self._placer.place_soon()
 
     @on_message.register
     def _(self, msg: Holding, agent: str) -> None:
@@ -223,7 +223,7 @@
 
     def _on_evacuations(self, evacuations: Evacuations) -> None:
         self._ctx.view.evacuated = evacuations.failure_domains
-        self._placing.place_soon()
+        self._placer.place_soon()
 
     # Losses
 
@@ -273,7 +273,7 @@
         self._adjust_window(now)
         if self._ctx.backlog:
             self._admission_controller.decide(now)
-            self._placing.place()
+            self._placer.place()
 
     def _adjust_window(self, now: float) -> None:
         window = self._ctx.window
