--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -93,7 +93,7 @@
         self._admission_controller = Admitting(self._ctx)
         self._placer = Placing(self._ctx, self._completions, self._admission_controller.admissions)
         self.leaving = False
-        self._leaves_at = float("inf")
+        self._shutdown_at = float("inf")
         self._idle_since: float | None = None
         links.on_open = self._on_open
         links.on_close = self._on_close
@@ -287,7 +287,9 @@
 
     def takes(self, spec: JobSpec) -> bool:
         """Whether a job is expected to end before this process does."""
-        return ends_in_time(estimate_critical_path_s(spec), self._leaves_at - self._ctx.clock.now())
+        return ends_in_time(
+            estimate_critical_path_s(spec), self._shutdown_at - self._ctx.clock.now()
+        )
 
     def leave(self, linger_s: float, until: float) -> None:
         """Accept jobs that can end before ``until`` for at least ``linger_s``, and answer all.
@@ -305,14 +307,14 @@
         gevent.sleep(linger_s)
         while not self.has_left() and self._ctx.clock.now() < until:
             gevent.sleep(DRAIN_CHECK_INTERVAL_S)
-        self._leaves_at = self._ctx.clock.now()
+        self._shutdown_at = self._ctx.clock.now()
         for ticket in list(self._ctx.jobs.values()):
             self._ctx.give_up(ticket.job, "the entry ends")
 
     def begin_leaving(self, until: float) -> None:
         """Accept only jobs that are expected to end before ``until``."""
         self.leaving = True
-        self._leaves_at = until
+        self._shutdown_at = until
 
     def has_left(self) -> bool:
         """Whether no job has been here for a while; from then on none is accepted.
@@ -327,5 +329,5 @@
             self._idle_since = now
         if now - self._idle_since < LAST_REQUESTS_TIMEOUT_S:
             return False
-        self._leaves_at = now
+        self._shutdown_at = now
         return True
