--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -19,10 +19,10 @@
 )
 from ..metrics import Metrics
 from .admitting import Admitting
-from .chain import ECHO_GAP_S
 from .config_feed import ConfigFeed
 from .config_transfer import ConfigHanding
 from .entry_context import EntryContext
+from .entry_leases import ECHO_GAP_S
 from .evacuation_broadcast import EvacuationSharing
 from .evacuations import Evacuations
 from .fleet_view import FleetView
--- a/src/gentianmux/leased/send_window.py
+++ b/src/gentianmux/leased/send_window.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from .chain import REPORT_S
+from .entry_leases import REPORT_S
 
 MANY_AGENTS = 4
 """Number of agents from which one is about to report at any moment."""
