--- a/src/gentianmux/leased/caller_watch.py
+++ b/src/gentianmux/leased/caller_watch.py
@@ -7,7 +7,7 @@
 from loguru import logger
 
 from .entry import Entry
-from .job_state import Outcome
+from .job_state import JobOutcome
 from .ticket import Ticket, Verdict
 
 RESULT_GRACE_S = 0.5
@@ -47,7 +47,7 @@
     if ticket.verdict is None:
         logger.bind(job=ticket.job.spec.job_id).error("job has no result after its deadline")
         entry.abandon(ticket, "no verdict in time")
-    return ticket.verdict or Verdict(Outcome.UNKNOWN, "no verdict in time")
+    return ticket.verdict or Verdict(JobOutcome.UNKNOWN, "no verdict in time")
 
 
 class CallerWatch:
--- a/src/gentianmux/leased/entry_context.py
+++ b/src/gentianmux/leased/entry_context.py
@@ -11,7 +11,7 @@
 from .claiming import claims_of, signature
 from .config_feed import ConfigFeed
 from .fleet_view import AgentView, FleetView
-from .job_state import JobState, Outcome
+from .job_state import JobOutcome, JobState
 from .links import Links
 from .send_window import SendWindow
 from .ticket import Ticket, Verdict
@@ -55,7 +55,7 @@
 
     Examples
     --------
-    ``ctx.finish(job, Verdict(Outcome.COMPLETED, "every task is done"))``
+    ``ctx.finish(job, Verdict(JobOutcome.COMPLETED, "every task is done"))``
     """
 
     def __init__(
@@ -128,9 +128,9 @@
             Retry delay in seconds for a job that has not run.
         """
         if job.proved_not_run:
-            self.finish(job, Verdict(Outcome.NOT_RUN, reason, retry_after_s))
+            self.finish(job, Verdict(JobOutcome.NOT_RUN, reason, retry_after_s))
         else:
-            self.finish(job, Verdict(Outcome.UNKNOWN, reason))
+            self.finish(job, Verdict(JobOutcome.UNKNOWN, reason))
 
     def claims(self, service: str) -> list[Claim]:
         """Claims for the waiting tasks of a service, cached while the backlog is unchanged."""
--- a/src/gentianmux/leased/job_state.py
+++ b/src/gentianmux/leased/job_state.py
@@ -42,7 +42,7 @@
     LATE = "late"
 
 
-class Outcome(Enum):
+class JobOutcome(Enum):
     """Final outcome of a job."""
 
     COMPLETED = "completed"
--- a/src/gentianmux/leased/ticket.py
+++ b/src/gentianmux/leased/ticket.py
@@ -4,7 +4,7 @@
 
 from gevent.event import Event
 
-from .job_state import JobState, Outcome
+from .job_state import JobOutcome, JobState
 
 
 class Verdict(NamedTuple):
@@ -12,7 +12,7 @@
 
     Attributes
     ----------
-    outcome : Outcome
+    outcome : JobOutcome
         What became of the job.
     reason : str
         Reason of the outcome.
@@ -20,7 +20,7 @@
         Retry delay in seconds; 0 for none.
     """
 
-    outcome: Outcome
+    outcome: JobOutcome
     reason: str
     retry_after_s: int = 0
 
--- a/tests/test_late_orders.py
+++ b/tests/test_late_orders.py
@@ -10,7 +10,7 @@
 from test_leased_world import assert_kept, outcome, ready_world
 
 from bench.leased_world import Asked, World
-from gentianmux.leased.job_state import Outcome
+from gentianmux.leased.job_state import JobOutcome
 from gentianmux.messages import Assign, Message
 
 
@@ -52,7 +52,7 @@
         world.run(after_s)
         deliver()
         world.run(2.0)
-        assert outcome(job) is Outcome.COMPLETED
+        assert outcome(job) is JobOutcome.COMPLETED
         assert_kept(world)
 
 
@@ -61,6 +61,6 @@
     job, _ = delayed_assignment(world, tasks=6)
     world.reopen(world.process_of("w0"), world.process_of("e0"))
     world.run(0.5)
-    assert outcome(job) is Outcome.COMPLETED
+    assert outcome(job) is JobOutcome.COMPLETED
     assert job.ended_at - job.at < 0.42
     assert_kept(world)
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -19,7 +19,7 @@
     retry_after_s,
     urgency,
 )
-from gentianmux.leased.entry_leases import CHAIN_S, AgentSide, surely_over
+from gentianmux.leased.entry_leases import CHAIN_S, EntryLeases, surely_over
 from gentianmux.leased.fleet_view import MAX_AGENTS_PER_ROUND, FleetView, Wish
 from gentianmux.leased.health import EJECT_AFTER_FAILURES, EndpointHealth
 from gentianmux.leased.job_state import JobState, Phase, Prospect
@@ -60,7 +60,7 @@
 
 
 def test_entry_lease_counts_from_sending_the_echoed_report() -> None:
-    side = AgentSide()
+    side = EntryLeases()
     for number in range(1, 11):
         side.sent(number, number / 10)
     side.echoed("e", 3)
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -10,7 +10,7 @@
 
 from bench.leased_world import World
 from gentianmux.leased import placing
-from gentianmux.leased.job_state import Outcome
+from gentianmux.leased.job_state import JobOutcome
 from gentianmux.messages import Assign, Message
 
 SEEDS = (1, 2, 3)
@@ -51,7 +51,7 @@
 
 def is_in_time(job) -> bool:  # type: ignore[no-untyped-def]
     verdict = job.ticket.verdict
-    served = verdict is not None and verdict.outcome is Outcome.COMPLETED
+    served = verdict is not None and verdict.outcome is JobOutcome.COMPLETED
     return served and job.ended_at - job.at <= job.ticket.job.objective_s
 
 
@@ -81,4 +81,6 @@
     assigned = [msg for msg in sent if isinstance(msg, Assign)]
     assert sum(len(msg.tasks) for msg in assigned) == 8
     assert sum(len(msg.payloads) for msg in assigned) == 2
-    assert {job.ticket.verdict.outcome for job in jobs if job.ticket.verdict} == {Outcome.COMPLETED}
+    assert {job.ticket.verdict.outcome for job in jobs if job.ticket.verdict} == {
+        JobOutcome.COMPLETED
+    }
