--- a/src/gentianmux/leased/caller_watch.py
+++ b/src/gentianmux/leased/caller_watch.py
@@ -18,7 +18,7 @@
 """Event mask of the event loop: data to read, or the end of the connection."""
 
 
-def wait_for_verdict(entry: Entry, ticket: Ticket, sock: Any) -> Verdict:
+def wait_for_result(entry: Entry, ticket: Ticket, sock: Any) -> Verdict:
     """Wait for a job's result; the job is stopped when its last caller disconnects.
 
     Parameters
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -23,7 +23,7 @@
 from .config_transfer import ConfigTransfer
 from .entry_context import EntryContext
 from .entry_leases import ECHO_GAP_S
-from .evacuation_broadcast import EvacuationSharing
+from .evacuation_broadcast import EvacuationBroadcast
 from .evacuations import Evacuations
 from .fleet_view import FleetView
 from .job_state import JobOutcome, JobState, estimate_critical_path_s
@@ -88,7 +88,7 @@
     ) -> None:
         self._ctx = EntryContext(view, links, feed, metrics, clock, link_bytes_s)
         self._handing = ConfigTransfer(feed, links, clock)
-        self._sharing = EvacuationSharing(feed.evacuations, links, self._on_evacuations)
+        self._sharing = EvacuationBroadcast(feed.evacuations, links, self._on_evacuations)
         self._completions = RunEnds(self._ctx)
         self._admission_controller = Admitting(self._ctx)
         self._placer = Placing(self._ctx, self._completions, self._admission_controller.admissions)
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -7,12 +7,12 @@
 
 from ..messages import AgentLoad, EndpointState
 from .claiming import Signature
-from .entry_leases import CHAIN_S, surely_over
+from .entry_leases import ENTRY_LEASE_S, surely_over
 from .leaving import NO_BOUND_MS
 from .model import instance_of
 from .resources import NO_RESOURCES, Resources
 
-MAX_REPORT_AGE_S = CHAIN_S - 0.05
+MAX_REPORT_AGE_S = ENTRY_LEASE_S - 0.05
 """Age in seconds of its newest load report from which an agent gets no new runs: they would arrive
 after the entry lease has expired, and be refused."""
 
