--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -33,7 +33,7 @@
 from .placing import Placing
 from .resources import NO_RESOURCES
 from .run_ends import RunEnds
-from .ticket import Ticket, Verdict
+from .ticket import JobHandle, Verdict
 
 STEP_S = 0.01
 """Seconds between checks of deadlines and decisions; short jobs are decided within a few of
@@ -87,7 +87,7 @@
         link_bytes_s: float = 0.0,
     ) -> None:
         self._ctx = EntryContext(view, links, feed, metrics, clock, link_bytes_s)
-        self._handing = ConfigTransfer(feed, links, clock)
+        self._config_transfer = ConfigTransfer(feed, links, clock)
         self._sharing = EvacuationBroadcast(feed.evacuations, links, self._on_evacuations)
         self._completions = RunEnds(self._ctx)
         self._admission_controller = Admitting(self._ctx)
@@ -100,7 +100,7 @@
         links.on_message = self.on_message
 
     @property
-    def jobs(self) -> dict[str, Ticket]:
+    def jobs(self) -> dict[str, JobHandle]:
         """Unfinished jobs by their ids."""
         return self._ctx.jobs
 
@@ -112,7 +112,7 @@
 
     # Jobs
 
-    def submit(self, spec: JobSpec, queue: QueueConfig, time_limit_s: float) -> Ticket:
+    def submit(self, spec: JobSpec, queue: QueueConfig, time_limit_s: float) -> JobHandle:
         """Admit a job, or join the unfinished job of the same id.
 
         Parameters
@@ -130,7 +130,7 @@
             return running
         now = self._ctx.clock.now()
         job = JobState(spec, queue, now, now + time_limit_s)
-        ticket = Ticket(job)
+        ticket = JobHandle(job)
         self._ctx.jobs[spec.job_id] = ticket
         self._ctx.backlog.put(job)
         self._ctx.metrics.count("jobs_admitted")
@@ -154,7 +154,7 @@
             self._ctx.finish(ticket.job, Verdict(JobOutcome.CANCELLED, "cancelled by its caller"))
         return ticket is not None
 
-    def abandon(self, ticket: Ticket, reason: str) -> None:
+    def abandon(self, ticket: JobHandle, reason: str) -> None:
         """Stop a job that nobody waits for any more."""
         self._ctx.finish(ticket.job, Verdict(JobOutcome.UNKNOWN, reason))
 
@@ -171,7 +171,7 @@
         now = self._ctx.clock.now()
         view.take_load(msg, now)
         self._ctx.window.acknowledged(agent, msg.applied, now)
-        self._handing.heard_of(agent, msg.config_version)
+        self._config_transfer.heard_of(agent, msg.config_version)
         if view.free.cpu > 0:
             self._placer.place_soon()
         # Return resources that are granted to tasks that no longer wait.
@@ -211,11 +211,11 @@
 
     @on_message.register
     def _(self, msg: ConfigWanted, agent: str) -> None:
-        self._handing.wanted(msg, agent)
+        self._config_transfer.wanted(msg, agent)
 
     @on_message.register
     def _(self, msg: ConfigPiece, agent: str) -> None:
-        self._handing.take(msg, agent)
+        self._config_transfer.take(msg, agent)
 
     @on_message.register
     def _(self, msg: Evacuated, agent: str) -> None:
--- a/src/gentianmux/leased/entry_context.py
+++ b/src/gentianmux/leased/entry_context.py
@@ -14,7 +14,7 @@
 from .job_state import JobOutcome, JobState
 from .links import Links
 from .send_window import SendWindow
-from .ticket import Ticket, Verdict
+from .ticket import JobHandle, Verdict
 
 CLAIMS_TTL_S = 0.01
 """Seconds for which computed claims are reused while the backlog is unchanged; ``begin_in_ms`` is
@@ -72,7 +72,7 @@
         self.feed = feed
         self.metrics = metrics
         self.clock = clock
-        self.jobs: dict[str, Ticket] = {}
+        self.jobs: dict[str, JobHandle] = {}
         self.backlog = Backlog()
         self.window = SendWindow(link_bytes_s)
         self.assigned_runs: defaultdict[str, dict[tuple[str, int], JobState]] = defaultdict(dict)
--- a/src/gentianmux/leased/ticket.py
+++ b/src/gentianmux/leased/ticket.py
@@ -25,7 +25,7 @@
     retry_after_s: int = 0
 
 
-class Ticket:
+class JobHandle:
     """Handle of an unfinished job.
 
     Attributes
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -19,7 +19,7 @@
     retry_after_s,
     urgency,
 )
-from gentianmux.leased.entry_leases import ENTRY_LEASE_S, EntryLeases, surely_over
+from gentianmux.leased.entry_leases import ENTRY_LEASE_S, EntryLeases, leases_expire_at
 from gentianmux.leased.fleet_view import MAX_AGENTS_PER_ROUND, FleetView, Wish
 from gentianmux.leased.health import EJECT_AFTER_FAILURES, EndpointHealth
 from gentianmux.leased.job_state import JobState, Phase, Prospect
@@ -74,7 +74,7 @@
 
 def test_all_leases_expire_before_callers_resend() -> None:
     cfg = LeasedSettings("entry", "e", "fd", "", "")
-    assert surely_over(0.0, lease_s(cfg)) < cfg.resend_s
+    assert leases_expire_at(0.0, lease_s(cfg)) < cfg.resend_s
 
 
 # Health and progress
