--- a/src/gentianmux/leased/caller_watch.py
+++ b/src/gentianmux/leased/caller_watch.py
@@ -18,14 +18,14 @@
 """Event mask of the event loop: data to read, or the end of the connection."""
 
 
-def wait_for_result(entry: Entry, ticket: JobHandle, sock: Any) -> Verdict:
+def wait_for_result(entry: Entry, handle: JobHandle, sock: Any) -> Verdict:
     """Wait for a job's result; the job is stopped when its last caller disconnects.
 
     Parameters
     ----------
     entry : Entry
         Coordinates the job.
-    ticket : JobHandle
+    handle : JobHandle
         The job.
     sock : socket or None
         The caller's connection; None to wait without watching it.
@@ -35,19 +35,19 @@
     Verdict
         The result; an unknown outcome when there is none in time.
     """
-    ticket.waiters += 1
-    watch = None if sock is None else CallerWatch(entry, ticket, sock)
-    remaining_s = ticket.job.deadline - entry.now() + RESULT_GRACE_S
+    handle.waiters += 1
+    watch = None if sock is None else CallerWatch(entry, handle, sock)
+    remaining_s = handle.job.deadline - entry.now() + RESULT_GRACE_S
     try:
-        ticket.done.wait(max(RESULT_GRACE_S, remaining_s))
+        handle.done.wait(max(RESULT_GRACE_S, remaining_s))
     finally:
-        ticket.waiters -= 1
+        handle.waiters -= 1
         if watch is not None:
             watch.stop()
-    if ticket.verdict is None:
-        logger.bind(job=ticket.job.spec.job_id).error("job has no result after its deadline")
-        entry.abandon(ticket, "no verdict in time")
-    return ticket.verdict or Verdict(JobOutcome.UNKNOWN, "no verdict in time")
+    if handle.verdict is None:
+        logger.bind(job=handle.job.spec.job_id).error("job has no result after its deadline")
+        entry.abandon(handle, "no verdict in time")
+    return handle.verdict or Verdict(JobOutcome.UNKNOWN, "no verdict in time")
 
 
 class CallerWatch:
@@ -61,19 +61,19 @@
     ----------
     entry : Entry
         Coordinates the job.
-    ticket : JobHandle
+    handle : JobHandle
         The job.
     sock : socket
         The caller's connection.
 
     Examples
     --------
-    ``watch = CallerWatch(entry, ticket, sock)``, and ``watch.stop()`` before the answer is sent.
+    ``watch = CallerWatch(entry, handle, sock)``, and ``watch.stop()`` before the answer is sent.
     """
 
-    def __init__(self, entry: Entry, ticket: JobHandle, sock: Any) -> None:
+    def __init__(self, entry: Entry, handle: JobHandle, sock: Any) -> None:
         self._entry = entry
-        self._ticket = ticket
+        self._ticket = handle
         self._sock = sock
         self._watcher = gevent.get_hub().loop.io(sock.fileno(), READABLE)
         self._watcher.start(self._on_readable)
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -27,12 +27,12 @@
 from .evacuations import Evacuations
 from .fleet_view import FleetView
 from .job_state import JobOutcome, JobState, estimate_critical_path_s
-from .leaving import ends_in_time
 from .links import Links
 from .model import JobSpec, QueueConfig, RunOutcome
 from .placing import Placing
 from .resources import NO_RESOURCES
 from .run_ends import RunEnds
+from .shutdown import ends_in_time
 from .ticket import JobHandle, Verdict
 
 STEP_S = 0.01
@@ -74,7 +74,7 @@
 
     Examples
     --------
-    ``ticket = entry.submit(spec, queue, time_limit_s=5.0)``, then ``ticket.done.wait()``.
+    ``handle = entry.submit(spec, queue, time_limit_s=5.0)``, then ``handle.done.wait()``.
     """
 
     def __init__(
@@ -88,7 +88,9 @@
     ) -> None:
         self._ctx = EntryContext(view, links, feed, metrics, clock, link_bytes_s)
         self._config_transfer = ConfigTransfer(feed, links, clock)
-        self._sharing = EvacuationBroadcast(feed.evacuations, links, self._on_evacuations)
+        self._evacuation_broadcast = EvacuationBroadcast(
+            feed.evacuations, links, self._on_evacuations
+        )
         self._completions = RunEnds(self._ctx)
         self._admission_controller = Admitting(self._ctx)
         self._placer = Placing(self._ctx, self._completions, self._admission_controller.admissions)
@@ -130,13 +132,13 @@
             return running
         now = self._ctx.clock.now()
         job = JobState(spec, queue, now, now + time_limit_s)
-        ticket = JobHandle(job)
-        self._ctx.jobs[spec.job_id] = ticket
+        handle = JobHandle(job)
+        self._ctx.jobs[spec.job_id] = handle
         self._ctx.backlog.put(job)
         self._ctx.metrics.count("jobs_admitted")
         self._admission_controller.admissions[queue.service].record_arrival(job, now)
         self._placer.place()
-        return ticket
+        return handle
 
     def now(self) -> float:
         """Monotonic time in seconds, the clock of job deadlines."""
@@ -149,14 +151,14 @@
 
     def cancel(self, job_id: str) -> bool:
         """Cancel a job; False when it is not known here."""
-        ticket = self._ctx.jobs.get(job_id)
-        if ticket is not None:
-            self._ctx.finish(ticket.job, Verdict(JobOutcome.CANCELLED, "cancelled by its caller"))
-        return ticket is not None
+        handle = self._ctx.jobs.get(job_id)
+        if handle is not None:
+            self._ctx.finish(handle.job, Verdict(JobOutcome.CANCELLED, "cancelled by its caller"))
+        return handle is not None
 
-    def abandon(self, ticket: JobHandle, reason: str) -> None:
+    def abandon(self, handle: JobHandle, reason: str) -> None:
         """Stop a job that nobody waits for any more."""
-        self._ctx.finish(ticket.job, Verdict(JobOutcome.UNKNOWN, reason))
+        self._ctx.finish(handle.job, Verdict(JobOutcome.UNKNOWN, reason))
 
     # Messages from agents
 
@@ -219,7 +221,7 @@
 
     @on_message.register
     def _(self, msg: Evacuated, agent: str) -> None:
-        self._sharing.take(msg, agent)
+        self._evacuation_broadcast.take(msg, agent)
 
     def _on_evacuations(self, evacuations: Evacuations) -> None:
         self._ctx.view.evacuated = evacuations.failure_domains
@@ -229,7 +231,7 @@
 
     def _on_open(self, hello: Hello) -> None:
         # Before any assignment: the agent may have just started.
-        self._sharing.greet(hello.process)
+        self._evacuation_broadcast.greet(hello.process)
         self._completions.opened_at[hello.process] = self._ctx.clock.now()
         self._ctx.window.forget(hello.process)
         # Echo the next report at once: the connection may replace a silent one, whose entry lease
@@ -267,9 +269,9 @@
     def step(self) -> None:
         """End jobs at their deadlines, decide waiting jobs, and place tasks."""
         now = self._ctx.clock.now()
-        for ticket in list(self._ctx.jobs.values()):
-            if now >= ticket.job.deadline:
-                self._ctx.give_up(ticket.job, "deadline passed")
+        for handle in list(self._ctx.jobs.values()):
+            if now >= handle.job.deadline:
+                self._ctx.give_up(handle.job, "deadline passed")
         self._adjust_window(now)
         if self._ctx.backlog:
             self._admission_controller.decide(now)
@@ -308,8 +310,8 @@
         while not self.has_left() and self._ctx.clock.now() < until:
             gevent.sleep(DRAIN_CHECK_INTERVAL_S)
         self._shutdown_at = self._ctx.clock.now()
-        for ticket in list(self._ctx.jobs.values()):
-            self._ctx.give_up(ticket.job, "the entry ends")
+        for handle in list(self._ctx.jobs.values()):
+            self._ctx.give_up(handle.job, "the entry ends")
 
     def begin_leaving(self, until: float) -> None:
         """Accept only jobs that are expected to end before ``until``."""
