--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -173,7 +173,7 @@
         now = self._ctx.clock.now()
         view.take_load(msg, now)
         self._ctx.window.acknowledged(agent, msg.applied, now)
-        self._config_transfer.heard_of(agent, msg.config_version)
+        self._config_transfer.on_version(agent, msg.config_version)
         if view.free.cpu > 0:
             self._placer.place_soon()
         # Return resources that are granted to tasks that no longer wait.
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -62,7 +62,7 @@
 def test_entry_lease_counts_from_sending_the_echoed_report() -> None:
     side = EntryLeases()
     for number in range(1, 11):
-        side.sent(number, number / 10)
+        side.record_sent(number, number / 10)
     side.echoed("e", 3)
     assert side.holds("e", 0.3 + ENTRY_LEASE_S - 0.01)
     assert not side.holds("e", 0.3 + ENTRY_LEASE_S + 0.01)
