--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -264,7 +264,7 @@
         for process in list(self._ctx.view.agents):
             if self._ctx.view.is_expired(process, now):
                 self._completions.lose_process(process, "silent for longer than every lease")
-        self._ctx.links.close_silent()
+        self._ctx.links.close_idle()
 
     def step(self) -> None:
         """End jobs at their deadlines, decide waiting jobs, and place tasks."""
