--- a/src/gentianmux/leased/caller_watch.py
+++ b/src/gentianmux/leased/caller_watch.py
@@ -8,7 +8,7 @@
 
 from .entry import Entry
 from .job_state import JobOutcome
-from .ticket import JobHandle, Verdict
+from .ticket import JobHandle, JobResult
 
 RESULT_GRACE_S = 0.5
 """Seconds after its deadline within which a job must have its result. The entry checks deadlines
@@ -18,7 +18,7 @@
 """Event mask of the event loop: data to read, or the end of the connection."""
 
 
-def wait_for_result(entry: Entry, handle: JobHandle, sock: Any) -> Verdict:
+def wait_for_result(entry: Entry, handle: JobHandle, sock: Any) -> JobResult:
     """Wait for a job's result; the job is stopped when its last caller disconnects.
 
     Parameters
@@ -32,7 +32,7 @@
 
     Returns
     -------
-    Verdict
+    JobResult
         The result; an unknown outcome when there is none in time.
     """
     handle.waiters += 1
@@ -47,7 +47,7 @@
     if handle.verdict is None:
         logger.bind(job=handle.job.spec.job_id).error("job has no result after its deadline")
         entry.abandon(handle, "no verdict in time")
-    return handle.verdict or Verdict(JobOutcome.UNKNOWN, "no verdict in time")
+    return handle.verdict or JobResult(JobOutcome.UNKNOWN, "no verdict in time")
 
 
 class CallerWatch:
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -33,7 +33,7 @@
 from .resources import NO_RESOURCES
 from .run_ends import RunEnds
 from .shutdown import ends_in_time
-from .ticket import JobHandle, Verdict
+from .ticket import JobHandle, JobResult
 
 STEP_S = 0.01
 """Seconds between checks of deadlines and decisions; short jobs are decided within a few of
@@ -153,12 +153,12 @@
         """Cancel a job; False when it is not known here."""
         handle = self._ctx.jobs.get(job_id)
         if handle is not None:
-            self._ctx.finish(handle.job, Verdict(JobOutcome.CANCELLED, "cancelled by its caller"))
+            self._ctx.finish(handle.job, JobResult(JobOutcome.CANCELLED, "cancelled by its caller"))
         return handle is not None
 
     def abandon(self, handle: JobHandle, reason: str) -> None:
         """Stop a job that nobody waits for any more."""
-        self._ctx.finish(handle.job, Verdict(JobOutcome.UNKNOWN, reason))
+        self._ctx.finish(handle.job, JobResult(JobOutcome.UNKNOWN, reason))
 
     # Messages from agents
 
--- a/src/gentianmux/leased/entry_context.py
+++ b/src/gentianmux/leased/entry_context.py
@@ -14,7 +14,7 @@
 from .job_state import JobOutcome, JobState
 from .links import Links
 from .send_window import SendWindow
-from .ticket import JobHandle, Verdict
+from .ticket import JobHandle, JobResult
 
 CLAIMS_TTL_S = 0.01
 """Seconds for which computed claims are reused while the backlog is unchanged; ``begin_in_ms`` is
@@ -55,7 +55,7 @@
 
     Examples
     --------
-    ``ctx.finish(job, Verdict(JobOutcome.COMPLETED, "every task is done"))``
+    ``ctx.finish(job, JobResult(JobOutcome.COMPLETED, "every task is done"))``
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         self._claims_until = 0.0
         self._claims_version = 0
 
-    def finish(self, job: JobState, verdict: Verdict) -> None:
+    def finish(self, job: JobState, verdict: JobResult) -> None:
         """End a job: withdraw its runs, and notify those who wait for its result."""
         handle = self.jobs.pop(job.spec.job_id, None)
         if handle is None:
@@ -128,9 +128,9 @@
             Retry delay in seconds for a job that has not run.
         """
         if job.proved_not_run:
-            self.finish(job, Verdict(JobOutcome.NOT_RUN, reason, retry_after_s))
+            self.finish(job, JobResult(JobOutcome.NOT_RUN, reason, retry_after_s))
         else:
-            self.finish(job, Verdict(JobOutcome.UNKNOWN, reason))
+            self.finish(job, JobResult(JobOutcome.UNKNOWN, reason))
 
     def claims(self, service: str) -> list[Claim]:
         """Claims for the waiting tasks of a service, cached while the backlog is unchanged."""
--- a/src/gentianmux/leased/send_window.py
+++ b/src/gentianmux/leased/send_window.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from .entry_leases import REPORT_S
+from .entry_leases import REPORT_INTERVAL_S
 
 MANY_AGENTS = 4
 """Number of agents from which one is about to report at any moment."""
@@ -138,7 +138,11 @@
     @property
     def _congested_s(self) -> float:
         """Delay from which the link is congested; a few agents may all be between two reports."""
-        return CONGESTED_S if len(self._acknowledged_by) >= MANY_AGENTS else CONGESTED_S + REPORT_S
+        return (
+            CONGESTED_S
+            if len(self._acknowledged_by) >= MANY_AGENTS
+            else CONGESTED_S + REPORT_INTERVAL_S
+        )
 
     def _ages(self, now: float) -> Iterator[float]:
         """Ages of each agent's oldest unacknowledged assignment."""
--- a/src/gentianmux/leased/ticket.py
+++ b/src/gentianmux/leased/ticket.py
@@ -7,7 +7,7 @@
 from .job_state import JobOutcome, JobState
 
 
-class Verdict(NamedTuple):
+class JobResult(NamedTuple):
     """Result of a job as its callers get it.
 
     Attributes
@@ -34,7 +34,7 @@
         The job.
     done : Event
         Set when the job has ended.
-    verdict : Verdict or None
+    verdict : JobResult or None
         Its result, once it has ended.
     waiters : int
         Callers that wait for it.
@@ -47,5 +47,5 @@
     def __init__(self, job: JobState) -> None:
         self.job = job
         self.done = Event()
-        self.verdict: Verdict | None = None
+        self.verdict: JobResult | None = None
         self.waiters = 0
