--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -22,7 +22,7 @@
 from .config_feed import ConfigFeed
 from .config_transfer import ConfigTransfer
 from .entry_context import EntryContext
-from .entry_leases import ECHO_GAP_S
+from .entry_leases import MIN_ECHO_INTERVAL_S
 from .evacuation_broadcast import EvacuationBroadcast
 from .evacuations import Evacuations
 from .fleet_view import FleetView
@@ -178,7 +178,7 @@
             self._placer.place_soon()
         # Return resources that are granted to tasks that no longer wait.
         gives_back = not self._ctx.backlog and bool(view.sent_signature)
-        if gives_back or self._ctx.clock.now() - view.echoed_at >= ECHO_GAP_S:
+        if gives_back or self._ctx.clock.now() - view.echoed_at >= MIN_ECHO_INTERVAL_S:
             self._ctx.echo(view)
 
     @on_message.register
