--- a/src/gentianmux/leased/entry_context.py
+++ b/src/gentianmux/leased/entry_context.py
@@ -80,22 +80,22 @@
         self._claims_until = 0.0
         self._claims_version = 0
 
-    def finish(self, job: JobState, verdict: JobResult) -> None:
+    def finish(self, job: JobState, result: JobResult) -> None:
         """End a job: withdraw its runs, and notify those who wait for its result."""
         handle = self.jobs.pop(job.spec.job_id, None)
         if handle is None:
             return
         self.backlog.discard(job)
         self._withdraw(job)
-        handle.verdict = verdict
+        handle.result = result
         took_s = self.clock.now() - job.arrived_at
-        self.metrics.count("jobs_ended", label=verdict.outcome.value)
+        self.metrics.count("jobs_ended", label=result.outcome.value)
         self.metrics.observe("job_seconds", took_s, label=job.queue.name)
         logger.bind(
             job=job.spec.job_id,
             queue=job.queue.name,
-            outcome=verdict.outcome.value,
-            reason=verdict.reason,
+            outcome=result.outcome.value,
+            reason=result.reason,
             took_ms=round(took_s * 1000),
             objective_ms=round(job.objective_s * 1000),
             time_limit_ms=round((job.deadline - job.arrived_at) * 1000),
--- a/src/gentianmux/leased/ticket.py
+++ b/src/gentianmux/leased/ticket.py
@@ -34,18 +34,18 @@
         The job.
     done : Event
         Set when the job has ended.
-    verdict : JobResult or None
+    result : JobResult or None
         Its result, once it has ended.
     waiters : int
         Callers that wait for it.
 
     Examples
     --------
-    ``handle.done.wait(timeout_s)`` and then ``handle.verdict``.
+    ``handle.done.wait(timeout_s)`` and then ``handle.result``.
     """
 
     def __init__(self, job: JobState) -> None:
         self.job = job
         self.done = Event()
-        self.verdict: JobResult | None = None
+        self.result: JobResult | None = None
         self.waiters = 0
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -42,7 +42,7 @@
     assert active_runs_in(world, "fd1") == before > 0
     world.run(3.0)
     assert world.breaches == []
-    assert {job.handle.verdict.outcome for job in world.asked} == {JobOutcome.COMPLETED}
+    assert {job.handle.result.outcome for job in world.asked} == {JobOutcome.COMPLETED}
     assert world.wasted_runs == 0 and len(early) == 4
 
 
@@ -119,7 +119,7 @@
     rows = [row for msg in sent if isinstance(msg, EndedRuns) for row in msg.runs]
     assert rows and {RunOutcome(row.how) for row in rows} == {RunOutcome.DRAINING}
     assert active_runs_in(world, "fd1") == 0
-    assert {job.handle.verdict.outcome for job in jobs} == {JobOutcome.COMPLETED}
+    assert {job.handle.result.outcome for job in jobs} == {JobOutcome.COMPLETED}
 
 
 def test_a_run_accepted_right_before_the_evacuation_is_not_started() -> None:
@@ -141,10 +141,10 @@
     world.run(0.05)
     job = world.submit("e0", tasks=2)
     world.run(0.05)
-    verdict = job.handle.verdict
-    assert verdict is not None
-    assert verdict.outcome is JobOutcome.NOT_RUN
-    assert verdict.retry_after_s > 1
+    result = job.handle.result
+    assert result is not None
+    assert result.outcome is JobOutcome.NOT_RUN
+    assert result.retry_after_s > 1
     assert world.false_refusals() == []
 
 
