--- a/bench/leased_world.py
+++ b/bench/leased_world.py
@@ -21,6 +21,7 @@
 from gentianmux.leased.entry import LOSS_CHECK_S, STEP_S, Entry
 from gentianmux.leased.entry_leases import REPORT_INTERVAL_S
 from gentianmux.leased.fleet_view import FleetView
+from gentianmux.leased.job_handle import JobHandle
 from gentianmux.leased.model import (
     EndpointReport,
     JobConfig,
@@ -32,7 +33,6 @@
 )
 from gentianmux.leased.resources import Resources
 from gentianmux.leased.settings import LeasedSettings, lease_s
-from gentianmux.leased.ticket import JobHandle
 from gentianmux.messages import PROTOCOL_VERSION, Hello, Message
 from gentianmux.metrics import Metrics
 from gentianmux.platform_log import MemoryKeyedLog
@@ -220,7 +220,7 @@
         assert agent is not None
         until = self.time + grace_s
         process = self.process_of(name)
-        agent.begin_leaving(until)
+        agent.begin_shutdown(until)
 
         def end_when_left() -> None:
             if process != self.process_of(name) or process not in self.alive:
--- a/src/gentianmux/leased/caller_watch.py
+++ b/src/gentianmux/leased/caller_watch.py
@@ -7,8 +7,8 @@
 from loguru import logger
 
 from .entry import Entry
+from .job_handle import JobHandle, JobResult
 from .job_state import JobOutcome
-from .ticket import JobHandle, JobResult
 
 RESULT_GRACE_S = 0.5
 """Seconds after its deadline within which a job must have its result. The entry checks deadlines
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -26,6 +26,7 @@
 from .evacuation_broadcast import EvacuationBroadcast
 from .evacuations import Evacuations
 from .fleet_view import FleetView
+from .job_handle import JobHandle, JobResult
 from .job_state import JobOutcome, JobState, estimate_critical_path_s
 from .links import Links
 from .model import JobSpec, QueueConfig, RunOutcome
@@ -33,7 +34,6 @@
 from .resources import NO_RESOURCES
 from .run_ends import RunEnds
 from .shutdown import ends_in_time
-from .ticket import JobHandle, JobResult
 
 STEP_S = 0.01
 """Seconds between checks of deadlines and decisions; short jobs are decided within a few of
@@ -305,7 +305,7 @@
         until : float
             Monotonic time at which unfinished jobs are given up.
         """
-        self.begin_leaving(until)
+        self.begin_shutdown(until)
         gevent.sleep(linger_s)
         while not self.has_left() and self._ctx.clock.now() < until:
             gevent.sleep(DRAIN_CHECK_INTERVAL_S)
@@ -313,7 +313,7 @@
         for handle in list(self._ctx.jobs.values()):
             self._ctx.give_up(handle.job, "the entry ends")
 
-    def begin_leaving(self, until: float) -> None:
+    def begin_shutdown(self, until: float) -> None:
         """Accept only jobs that are expected to end before ``until``."""
         self.leaving = True
         self._shutdown_at = until
--- a/src/gentianmux/leased/run_ends.py
+++ b/src/gentianmux/leased/run_ends.py
@@ -4,9 +4,9 @@
 
 from ..messages import Holding, RunRef, Withdraw
 from .entry_context import EntryContext
+from .job_handle import JobResult
 from .job_state import JobOutcome
 from .model import RunOutcome, instance_of
-from .ticket import JobResult
 
 REFUSAL_BACKOFF_S = 0.05
 """Seconds without new runs for an agent that refused one for another reason than resources."""
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -600,7 +600,7 @@
     world = ready_world()
     entry = world.entries["e0"].entry
     assert entry is not None
-    entry.begin_leaving(world.time + 5.0)
+    entry.begin_shutdown(world.time + 5.0)
     first = world.submit("e0", tasks=1, run_s=0.05)
     world.run(0.1)
     assert outcome(first) is JobOutcome.COMPLETED
