--- a/bench/leased_world.py
+++ b/bench/leased_world.py
@@ -225,7 +225,7 @@
         def end_when_left() -> None:
             if process != self.process_of(name) or process not in self.alive:
                 return
-            if agent.has_left() or self.time >= until:
+            if agent.is_drained() or self.time >= until:
                 self.kill(process)
                 self.at(back_s, "", self.start_agent, name)
 
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -32,7 +32,7 @@
 from .model import JobSpec, QueueConfig, RunOutcome
 from .placing import Placing
 from .resources import NO_RESOURCES
-from .run_ends import RunEnds
+from .run_ends import RunCompletions
 from .shutdown import ends_in_time
 
 STEP_S = 0.01
@@ -91,7 +91,7 @@
         self._evacuation_broadcast = EvacuationBroadcast(
             feed.evacuations, links, self._on_evacuations
         )
-        self._completions = RunEnds(self._ctx)
+        self._completions = RunCompletions(self._ctx)
         self._admission_controller = Admitting(self._ctx)
         self._placer = Placing(self._ctx, self._completions, self._admission_controller.admissions)
         self.leaving = False
@@ -307,7 +307,7 @@
         """
         self.begin_shutdown(until)
         gevent.sleep(linger_s)
-        while not self.has_left() and self._ctx.clock.now() < until:
+        while not self.is_drained() and self._ctx.clock.now() < until:
             gevent.sleep(DRAIN_CHECK_INTERVAL_S)
         self._shutdown_at = self._ctx.clock.now()
         for handle in list(self._ctx.jobs.values()):
@@ -318,7 +318,7 @@
         self.leaving = True
         self._shutdown_at = until
 
-    def has_left(self) -> bool:
+    def is_drained(self) -> bool:
         """Whether no job has been here for a while; from then on none is accepted.
 
         A job accepted between the last answer and the end of the process would be cut off.
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -13,7 +13,7 @@
 from .job_state import TASK_OVERHEAD_BYTES, JobState, TaskState
 from .model import RunOutcome
 from .resources import NO_RESOURCES, Resources
-from .run_ends import RunEnds
+from .run_ends import RunCompletions
 
 CLAIM_INTERVAL_S = 0.02
 """Least seconds between two rounds of sending changed claims to all agents."""
@@ -31,7 +31,7 @@
     ----------
     ctx : EntryContext
         Jobs and agents of the entry.
-    completions : RunEnds
+    completions : RunCompletions
         Takes back runs that could not be sent.
     admissions : dict
         Admission policy of each service, notified when a job begins.
@@ -42,7 +42,10 @@
     """
 
     def __init__(
-        self, ctx: EntryContext, completions: RunEnds, admissions: defaultdict[str, Admission]
+        self,
+        ctx: EntryContext,
+        completions: RunCompletions,
+        admissions: defaultdict[str, Admission],
     ) -> None:
         self._ctx = ctx
         self._completions = completions
--- a/src/gentianmux/leased/run_ends.py
+++ b/src/gentianmux/leased/run_ends.py
@@ -12,7 +12,7 @@
 """Seconds without new runs for an agent that refused one for another reason than resources."""
 
 
-class RunEnds:
+class RunCompletions:
     """Ends runs, and with the last of them their job.
 
     Parameters
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -183,7 +183,7 @@
 
 def test_a_store_that_lags_behind_a_peer_restores_no_evacuation() -> None:
     known = feed()
-    known.read_all(["fd1"], 4)
+    known.apply_snapshot(["fd1"], 4)
     known.offered(Evacuations(6, ("fd2",)), "peer")
     known.read_changes([], 5)
     assert known.current.failure_domains == ("fd2",)
@@ -193,8 +193,8 @@
 
 def test_only_a_deleted_record_ends_an_evacuation() -> None:
     known = feed()
-    known.read_all(["fd1"], 4)
-    known.read_all(["fd1"], 90)
+    known.apply_snapshot(["fd1"], 4)
+    known.apply_snapshot(["fd1"], 90)
     assert known.covers("fd1")
-    known.read_all([], 91)
+    known.apply_snapshot([], 91)
     assert not known.covers("fd1")
