--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -32,7 +32,7 @@
 from .model import JobSpec, QueueConfig, RunOutcome
 from .placing import Placing
 from .resources import NO_RESOURCES
-from .run_ends import RunCompletions
+from .run_completions import RunCompletions
 from .shutdown import ends_in_time
 
 STEP_S = 0.01
@@ -293,7 +293,7 @@
             estimate_critical_path_s(spec), self._shutdown_at - self._ctx.clock.now()
         )
 
-    def leave(self, linger_s: float, until: float) -> None:
+    def shut_down(self, linger_s: float, until: float) -> None:
         """Accept jobs that can end before ``until`` for at least ``linger_s``, and answer all.
 
         Callers keep their connections for some time after the balancer was notified.
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -13,7 +13,7 @@
 from .job_state import TASK_OVERHEAD_BYTES, JobState, TaskState
 from .model import RunOutcome
 from .resources import NO_RESOURCES, Resources
-from .run_ends import RunCompletions
+from .run_completions import RunCompletions
 
 CLAIM_INTERVAL_S = 0.02
 """Least seconds between two rounds of sending changed claims to all agents."""
