--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -30,10 +30,10 @@
 from .job_state import JobOutcome, JobState, estimate_critical_path_s
 from .links import Links
 from .model import JobSpec, QueueConfig, RunOutcome
-from .placing import Placing
+from .placing import Placer
 from .resources import NO_RESOURCES
 from .run_completions import RunCompletions
-from .shutdown import ends_in_time
+from .shutdown import finishes_before_shutdown
 
 STEP_S = 0.01
 """Seconds between checks of deadlines and decisions; short jobs are decided within a few of
@@ -93,7 +93,7 @@
         )
         self._completions = RunCompletions(self._ctx)
         self._admission_controller = Admitting(self._ctx)
-        self._placer = Placing(self._ctx, self._completions, self._admission_controller.admissions)
+        self._placer = Placer(self._ctx, self._completions, self._admission_controller.admissions)
         self.leaving = False
         self._shutdown_at = float("inf")
         self._idle_since: float | None = None
@@ -289,7 +289,7 @@
 
     def takes(self, spec: JobSpec) -> bool:
         """Whether a job is expected to end before this process does."""
-        return ends_in_time(
+        return finishes_before_shutdown(
             estimate_critical_path_s(spec), self._shutdown_at - self._ctx.clock.now()
         )
 
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -24,7 +24,7 @@
 endpoints, and its payload is sent less often; more would lengthen the queue at one agent."""
 
 
-class Placing:
+class Placer:
     """Places the backlog of an entry.
 
     Parameters
