--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -18,7 +18,7 @@
     Message,
 )
 from ..metrics import Metrics
-from .admitting import Admitting
+from .admitting import AdmissionController
 from .config_feed import ConfigFeed
 from .config_transfer import ConfigTransfer
 from .entry_context import EntryContext
@@ -92,7 +92,7 @@
             feed.evacuations, links, self._on_evacuations
         )
         self._completions = RunCompletions(self._ctx)
-        self._admission_controller = Admitting(self._ctx)
+        self._admission_controller = AdmissionController(self._ctx)
         self._placer = Placer(self._ctx, self._completions, self._admission_controller.admissions)
         self.leaving = False
         self._shutdown_at = float("inf")
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -10,7 +10,7 @@
 from .entry_leases import ENTRY_LEASE_S, leases_expire_at
 from .model import instance_of
 from .resources import NO_RESOURCES, Resources
-from .shutdown import NO_BOUND_MS
+from .shutdown import UNBOUNDED_ESTIMATE_MS
 
 MAX_REPORT_AGE_S = ENTRY_LEASE_S - 0.05
 """Age in seconds of its newest load report from which an agent gets no new runs: they would arrive
@@ -75,7 +75,7 @@
     backoff_until: float = 0.0
     sent_signature: Signature = ()
     entries: int = 1
-    longest_ms: int = NO_BOUND_MS
+    longest_ms: int = UNBOUNDED_ESTIMATE_MS
     echoed_at: float = 0.0
     last_ended_number: int = 0
 
@@ -115,7 +115,7 @@
     @property
     def is_shutting_down(self) -> bool:
         """Whether the agent is shutting down and accepts only short runs."""
-        return self.longest_ms != NO_BOUND_MS
+        return self.longest_ms != UNBOUNDED_ESTIMATE_MS
 
     def is_fresh(self, now: float) -> bool:
         """Whether the agent has reported lately."""
