--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -18,7 +18,7 @@
     Message,
 )
 from ..metrics import Metrics
-from .admitting import AdmissionController
+from .admission_controller import AdmissionController
 from .config_feed import ConfigFeed
 from .config_transfer import ConfigTransfer
 from .entry_context import EntryContext
@@ -231,7 +231,7 @@
 
     def _on_open(self, hello: Hello) -> None:
         # Before any assignment: the agent may have just started.
-        self._evacuation_broadcast.greet(hello.process)
+        self._evacuation_broadcast.send_to(hello.process)
         self._completions.opened_at[hello.process] = self._ctx.clock.now()
         self._ctx.window.forget(hello.process)
         # Echo the next report at once: the connection may replace a silent one, whose entry lease
