--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -213,7 +213,7 @@
 
     @on_message.register
     def _(self, msg: ConfigWanted, agent: str) -> None:
-        self._config_transfer.wanted(msg, agent)
+        self._config_transfer.on_wanted(msg, agent)
 
     @on_message.register
     def _(self, msg: ConfigPiece, agent: str) -> None:
