--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -25,6 +25,7 @@
 from .agent_context import AgentContext
 from .config_feed import ConfigFeed
 from .config_transfer import ConfigTransfer
+from .endpoint_health import EndpointHealth
 from .endpoint_poller import EndpointPoller, LookHooks
 from .endpoint_tracker import EndpointTracker, TrackerHooks
 from .entry_leases import REPORT_INTERVAL_S
@@ -32,7 +33,6 @@
 from .evacuation_broadcast import EvacuationBroadcast
 from .evacuations import Evacuations
 from .grants import LATE_RESERVE
-from .health import EndpointHealth
 from .links import Links
 from .model import (
     EndpointDriver,
@@ -152,7 +152,7 @@
         if self.report is report and report.draining:
             self._watch.move_what_cannot_end(report.drain_remaining_s)
 
-    def on_unreadable(self, endpoint: str, reason: str) -> None:
+    def on_unreadable_heartbeat(self, endpoint: str, reason: str) -> None:
         """Pass over a heartbeat that says nothing usable."""
         self._ctx.tracker.unreadable(endpoint, reason)
 
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -19,9 +19,9 @@
     retry_after_s,
     urgency,
 )
+from gentianmux.leased.endpoint_health import EJECT_AFTER_FAILURES, EndpointHealth
 from gentianmux.leased.entry_leases import ENTRY_LEASE_S, EntryLeases, leases_expire_at
 from gentianmux.leased.fleet_view import MAX_AGENTS_PER_ROUND, FleetView, Wish
-from gentianmux.leased.health import EJECT_AFTER_FAILURES, EndpointHealth
 from gentianmux.leased.job_state import JobState, Phase, Prospect
 from gentianmux.leased.model import JobSpec, QueueConfig, RunOutcome, StepSpec
 from gentianmux.leased.progress import STALL_S, Progress
