--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -131,7 +131,7 @@
     until: float
 
 
-class Wish(NamedTuple):
+class PlacementRequest(NamedTuple):
     """Requirements of a task on the endpoint that runs it.
 
     Attributes
@@ -284,7 +284,7 @@
         """Number of entries that share the agents, this one included."""
         return max((agent.entries for agent in self._sample() if agent.is_fresh(now)), default=1)
 
-    def choose(self, wish: Wish, serving: Iterable[AgentView]) -> AgentView | None:
+    def choose(self, wish: PlacementRequest, serving: Iterable[AgentView]) -> AgentView | None:
         """Return the best of some serving agents for a task; None when none suits it."""
         agents = list(serving)
         if len(agents) > MAX_AGENTS_PER_TASK:
@@ -294,7 +294,7 @@
             return None
         return min(suitable, key=lambda agent: self._sort_key(agent, wish))
 
-    def _suits(self, agent: AgentView, wish: Wish) -> bool:
+    def _suits(self, agent: AgentView, wish: PlacementRequest) -> bool:
         state = agent.state
         if state is None or state.incarnation in wish.avoid or state.incarnation in wish.full:
             return False
@@ -304,7 +304,7 @@
             return False
         return agent.free.fits(wish.need)
 
-    def _sort_key(self, agent: AgentView, wish: Wish) -> tuple[bool, int, float, float]:
+    def _sort_key(self, agent: AgentView, wish: PlacementRequest) -> tuple[bool, int, float, float]:
         state = agent.state
         lacks_preferred = bool(wish.prefers) and (state is None or wish.prefers not in state.labels)
         return lacks_preferred, *self.rank(agent)
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -9,7 +9,7 @@
 from .candidates import Candidates
 from .claims import signature
 from .entry_context import EntryContext
-from .fleet_view import AgentView, Wish
+from .fleet_view import AgentView, PlacementRequest
 from .job_state import TASK_OVERHEAD_BYTES, JobState, TaskState
 from .model import RunOutcome
 from .resources import NO_RESOURCES, Resources
@@ -159,9 +159,9 @@
             chosen[agent.process] += 1
         return True
 
-    def _request_for(self, job: JobState, task: TaskState, now: float) -> Wish:
+    def _request_for(self, job: JobState, task: TaskState, now: float) -> PlacementRequest:
         step = job.step_of(task)
-        return Wish(
+        return PlacementRequest(
             job.queue.service,
             step.need,
             step.requires,
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -28,7 +28,7 @@
 from gentianmux.leased.agent import Agent
 from gentianmux.leased.directory import Announcement, decode_announcement
 from gentianmux.leased.endpoint_word import Word, judge
-from gentianmux.leased.fleet_view import Wish
+from gentianmux.leased.fleet_view import PlacementRequest
 from gentianmux.leased.job_state import JobOutcome
 from gentianmux.leased.model import (
     ActiveRun,
@@ -520,7 +520,7 @@
             return HttpReply(200, b'{"clock_ms": 900000}')
 
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(driver._orders, "call", answer_late)
+            patch.setattr(driver._command_client, "call", answer_late)
             driver.stop("t", 1)
         assert driver._clock_ms == 0.0
 
@@ -573,7 +573,7 @@
     agent = view.agents["a.1"]
     assert agent.state is not None
     agent.state = agent.state._replace(born=100)
-    wish = Wish("s", Resources(1600, 64), avoid=frozenset({agent.state.incarnation}))
+    wish = PlacementRequest("s", Resources(1600, 64), avoid=frozenset({agent.state.incarnation}))
     assert view.choose(wish, view.willing("s", 1.0)) is None
     agent.state = agent.state._replace(born=200)
     assert view.choose(wish, view.willing("s", 1.0)) is agent
@@ -587,7 +587,7 @@
     def announce(report: EndpointReport | None) -> None:
         announced.append(None if report is None else (report.born, report.draining))
 
-    agent_of(world).on_endpoint = announce
+    agent_of(world).on_report_change = announce
     endpoint.draining = True
     world.run(0.6)
     world.restart_endpoint("w0", down_s=0.1)
