--- a/src/gentianmux/leased/candidates.py
+++ b/src/gentianmux/leased/candidates.py
@@ -26,7 +26,7 @@
 
     Examples
     --------
-    ``candidates.take(wish)`` returns the best agent with the resources for a task. Reserve what it
+    ``candidates.take(request)`` returns the best agent with the resources for a task. Reserve what it
     is assigned before the next call.
     """
 
@@ -57,25 +57,25 @@
         """Whether any agent has the free resources for a task, other requirements aside."""
         return any(agent.free.fits(need) for agent in self._agents)
 
-    def take_last(self, wish: "Wish") -> "AgentView | None":
+    def take_last(self, request: "Wish") -> "AgentView | None":
         """Return the agent taken last, if it suits another task of the same job."""
-        if self._last_taken is None or wish.is_picky:
+        if self._last_taken is None or request.is_picky:
             return None
         agent = self._agents[self._last_taken]
-        return agent if _suits(agent, wish) else None
+        return agent if _suits(agent, request) else None
 
-    def take(self, wish: "Wish") -> "AgentView | None":
+    def take(self, request: "Wish") -> "AgentView | None":
         """Return the best agent for a task; None when none suits it."""
         self._put_back_taken()
-        if wish.is_picky:
+        if request.is_picky:
             # The heap ignores constraints, which few tasks have.
-            return self._take_constrained(wish)
+            return self._take_constrained(request)
         skipped: list[_HeapItem] = []
         found = None
         while self._heap and found is None:
             item = heappop(self._heap)
             agent = self._agents[item[-1]]
-            if _suits(agent, wish):
+            if _suits(agent, request):
                 found = agent
                 self._last_taken = item[-1]
             else:
@@ -84,8 +84,8 @@
             heappush(self._heap, item)
         return found
 
-    def _take_constrained(self, wish: "Wish") -> "AgentView | None":
-        agent = self._view.choose(wish, self._agents)
+    def _take_constrained(self, request: "Wish") -> "AgentView | None":
+        agent = self._view.choose(request, self._agents)
         if agent is not None:
             # The next call pushes it again with its new rank.
             number = self._agents.index(agent)
@@ -95,5 +95,5 @@
         return agent
 
 
-def _suits(agent: "AgentView", wish: "Wish") -> bool:
-    return agent.free.fits(wish.need) and wish.estimate_ms <= agent.longest_ms
+def _suits(agent: "AgentView", request: "Wish") -> bool:
+    return agent.free.fits(request.need) and request.estimate_ms <= agent.longest_ms
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -284,29 +284,33 @@
         """Number of entries that share the agents, this one included."""
         return max((agent.entries for agent in self._sample() if agent.is_fresh(now)), default=1)
 
-    def choose(self, wish: PlacementRequest, serving: Iterable[AgentView]) -> AgentView | None:
+    def choose(self, request: PlacementRequest, serving: Iterable[AgentView]) -> AgentView | None:
         """Return the best of some serving agents for a task; None when none suits it."""
         agents = list(serving)
         if len(agents) > MAX_AGENTS_PER_TASK:
             agents = self._rng.sample(agents, MAX_AGENTS_PER_TASK)
-        suitable = [agent for agent in agents if self._suits(agent, wish)]
+        suitable = [agent for agent in agents if self._suits(agent, request)]
         if not suitable:
             return None
-        return min(suitable, key=lambda agent: self._sort_key(agent, wish))
+        return min(suitable, key=lambda agent: self._sort_key(agent, request))
 
-    def _suits(self, agent: AgentView, wish: PlacementRequest) -> bool:
+    def _suits(self, agent: AgentView, request: PlacementRequest) -> bool:
         state = agent.state
-        if state is None or state.incarnation in wish.avoid or state.incarnation in wish.full:
+        if state is None or state.incarnation in request.avoid or state.incarnation in request.full:
             return False
-        if wish.estimate_ms > agent.longest_ms:
+        if request.estimate_ms > agent.longest_ms:
             return False
-        if wish.requires and wish.requires not in state.labels:
+        if request.requires and request.requires not in state.labels:
             return False
-        return agent.free.fits(wish.need)
+        return agent.free.fits(request.need)
 
-    def _sort_key(self, agent: AgentView, wish: PlacementRequest) -> tuple[bool, int, float, float]:
+    def _sort_key(
+        self, agent: AgentView, request: PlacementRequest
+    ) -> tuple[bool, int, float, float]:
         state = agent.state
-        lacks_preferred = bool(wish.prefers) and (state is None or wish.prefers not in state.labels)
+        lacks_preferred = bool(request.prefers) and (
+            state is None or request.prefers not in state.labels
+        )
         return lacks_preferred, *self.rank(agent)
 
     def rank(self, agent: AgentView) -> tuple[int, float, float]:
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -142,10 +142,10 @@
     ) -> bool:
         colocated = 0
         for task in job.ready_tasks():
-            wish = self._request_for(job, task, now)
-            agent = candidates.take_last(wish) if 0 < colocated < TOGETHER else None
+            request = self._request_for(job, task, now)
+            agent = candidates.take_last(request) if 0 < colocated < TOGETHER else None
             colocated = colocated + 1 if agent is not None else 1
-            agent = agent or candidates.take(wish)
+            agent = agent or candidates.take(request)
             if agent is None or agent.state is None:
                 return False
             run = job.assign(task, agent.process, agent.state.incarnation, now)
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -103,17 +103,17 @@
     candidates = Candidates(view, serving)
     for number in range(40):
         avoid = frozenset({"x1", "x4"}) if rng.random() < 0.2 else frozenset()
-        wish = PlacementRequest(
+        request = PlacementRequest(
             "s", Resources(rng.randrange(400, 5000), 64), avoid=avoid, estimate_ms=100
         )
-        best = view.choose(wish, serving)
-        taken = candidates.take(wish)
+        best = view.choose(request, serving)
+        taken = candidates.take(request)
         assert (taken is None) == (best is None)
         if taken is None or best is None:
             continue
         assert rank_of(view, taken) == rank_of(view, best)
-        assert taken.free.fits(wish.need) and taken.longest_ms >= 100
-        taken.reserve(number + 1, wish.need)
+        assert taken.free.fits(request.need) and taken.longest_ms >= 100
+        taken.reserve(number + 1, request.need)
 
 
 def test_reserved_resources_are_deducted_until_reported() -> None:
