--- a/src/gentianmux/leased/candidates.py
+++ b/src/gentianmux/leased/candidates.py
@@ -59,7 +59,7 @@
 
     def take_last(self, request: "Wish") -> "AgentView | None":
         """Return the agent taken last, if it suits another task of the same job."""
-        if self._last_taken is None or request.is_picky:
+        if self._last_taken is None or request.is_constrained:
             return None
         agent = self._agents[self._last_taken]
         return agent if _suits(agent, request) else None
@@ -67,7 +67,7 @@
     def take(self, request: "Wish") -> "AgentView | None":
         """Return the best agent for a task; None when none suits it."""
         self._put_back_taken()
-        if request.is_picky:
+        if request.is_constrained:
             # The heap ignores constraints, which few tasks have.
             return self._take_constrained(request)
         skipped: list[_HeapItem] = []
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -159,7 +159,7 @@
     estimate_ms: int = 0
 
     @property
-    def is_picky(self) -> bool:
+    def is_constrained(self) -> bool:
         """Whether the task has requirements beyond resources and run time."""
         return bool(self.requires or self.prefers or self.avoid or self.full)
 
