--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -244,7 +244,7 @@
             for agent in self._order
         )
 
-    def willing(self, service: str, now: float) -> list[AgentView]:
+    def eligible(self, service: str, now: float) -> list[AgentView]:
         """Agents that serve a service and have not refused a run lately."""
         return [agent for agent in self.serving(service, now) if now >= agent.backoff_until]
 
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -82,7 +82,7 @@
         self, service: str, assignments: dict[str, list[LeasedTask]], now: float
     ) -> None:
         view = self._ctx.view
-        candidates = Candidates(view, view.willing(service, now))
+        candidates = Candidates(view, view.eligible(service, now))
         too_large: Resources | None = None
         planned_bytes = 0
         for job in self._ctx.backlog.jobs_of(service) if len(candidates) else ():
@@ -173,7 +173,7 @@
 
     def _avoided_incarnations(self, job: JobState, task: TaskState, now: float) -> frozenset[str]:
         """Endpoint incarnations that a task avoids; none when no others serve its service."""
-        willing = self._ctx.view.willing(job.queue.service, now)
+        willing = self._ctx.view.eligible(job.queue.service, now)
         others = any(a.state is not None and a.state.incarnation not in task.avoid for a in willing)
         return frozenset(task.avoid) if others else frozenset()
 
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -99,7 +99,7 @@
 def test_candidates_choose_as_good_an_agent_as_full_search(seed: int) -> None:
     rng = Random(seed)
     view = fleet(rng)
-    serving = view.willing("s", 1.0)
+    serving = view.eligible("s", 1.0)
     candidates = Candidates(view, serving)
     for number in range(40):
         avoid = frozenset({"x1", "x4"}) if rng.random() < 0.2 else frozenset()
