--- a/src/gentianmux/leased/admission.py
+++ b/src/gentianmux/leased/admission.py
@@ -59,7 +59,7 @@
     and is worth nothing until its last task has ended. Late jobs get only resources that no timely
     job waits for, also for their remaining tasks.
     """
-    late = job.prospect is Timeliness.LATE
+    late = job.timeliness is Timeliness.LATE
     begin_by = job.last_useful_start if late else job.latest_start
     return late, not job.began, job.queue.priority, begin_by
 
@@ -240,7 +240,7 @@
 
     def _next_decision_of(self, job: JobState, now: float) -> float:
         """Monotonic time at which a job that keeps waiting has to be checked again."""
-        undecided = job.prospect is Timeliness.OPEN and now < decision_time(job)
+        undecided = job.timeliness is Timeliness.OPEN and now < decision_time(job)
         return decision_time(job) if undecided else job.last_useful_start
 
     def record_begin(self, job: JobState, now: float) -> None:
@@ -250,14 +250,14 @@
         admissions.
         """
         self._begun.add(job.work_cpu_s, now)
-        if job.prospect is Timeliness.LATE:
+        if job.timeliness is Timeliness.LATE:
             self._late_began_at = now
         elif now > job.latest_start and now - self._late_began_at < LATE_PAUSE_S:
             self._admitted_in_vain_at = now
 
     def _decide_job(self, job: JobState, load: Load, now: float, decision: Decision) -> bool:
         """Decide one job that has not begun, and return whether it keeps waiting."""
-        if job.prospect is not Timeliness.OPEN:
+        if job.timeliness is not Timeliness.OPEN:
             if now <= job.last_useful_start:
                 return True
             self._admitted_in_vain_at = now
--- a/src/gentianmux/leased/job_state.py
+++ b/src/gentianmux/leased/job_state.py
@@ -107,7 +107,7 @@
         allowance.
     began : bool
         Whether a task of it was assigned to an agent.
-    prospect : Timeliness
+    timeliness : Timeliness
         Whether it is expected to be in time, once that has been decided.
     latest_start : float
         Monotonic time at which the job has to begin to meet its objective, by its estimate.
@@ -143,7 +143,7 @@
         self.payload = pack(spec.payload)
         self.bytes_per_task = len(self.payload) // 2 + TASK_OVERHEAD_BYTES
         self.began = False
-        self.prospect = Timeliness.OPEN
+        self.timeliness = Timeliness.OPEN
         self.may_have_run = False
         self.failed = False
         self.tasks: dict[str, TaskState] = {}
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -34,7 +34,7 @@
         task = one.assigned_tasks()[0]
         one.end_run(task.name, task.run, RunOutcome.NO_ROOM)
     else:
-        one.prospect = Timeliness.LATE
+        one.timeliness = Timeliness.LATE
 
 
 def assert_as_plain(backlog: Backlog, waiting: dict[str, JobState]) -> None:
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -198,9 +198,9 @@
     assert 0 < len(decision.kept) < 10
     assert 0 < len(decision.late) < 20
     for each in decision.kept:
-        each.prospect = Timeliness.TIMELY
+        each.timeliness = Timeliness.TIMELY
     for each in decision.late:
-        each.prospect = Timeliness.LATE
+        each.timeliness = Timeliness.LATE
     again = admission.decide([*decision.kept, *decision.late], 0.1, due + 0.3)
     assert again == ([], [], [], [])
 
@@ -243,7 +243,7 @@
 
 def test_kept_jobs_are_given_up_once_their_answer_is_of_no_use() -> None:
     kept = job(1)
-    kept.prospect = Timeliness.TIMELY
+    kept.timeliness = Timeliness.TIMELY
     assert Admission().decide([kept], 4.0, kept.last_useful_start - 0.01) == ([], [], [], [])
     assert Admission().decide([kept], 4.0, kept.last_useful_start + 0.01).expired == [kept]
     kept.began = True
@@ -253,7 +253,7 @@
 def test_late_admissions_pause_after_a_job_was_kept_in_vain() -> None:
     admission = Admission()
     mistaken = job(1)
-    mistaken.prospect = Timeliness.LATE
+    mistaken.timeliness = Timeliness.LATE
     at = mistaken.last_useful_start + 0.01
     assert admission.decide([mistaken], 40.0, at).expired == [mistaken]
     ahead = job(2, tasks=10, estimate_ms=500, arrived=at)
@@ -270,7 +270,7 @@
 def test_late_admissions_pause_when_late_work_delays_timely_jobs() -> None:
     admission = Admission()
     late, timely = job(1), job(2)
-    late.prospect = Timeliness.LATE
+    late.timeliness = Timeliness.LATE
     now = timely.latest_start + 0.01
     admission.record_begin(timely, now)
     ahead = job(3, tasks=10, estimate_ms=500)
@@ -294,7 +294,7 @@
 def test_late_jobs_go_last_also_after_they_have_begun() -> None:
     begun, late, begun_late = job(1, estimate_ms=2000), job(2, estimate_ms=100), job(3)
     begun.began = begun_late.began = True
-    late.prospect = begun_late.prospect = Timeliness.LATE
+    late.timeliness = begun_late.timeliness = Timeliness.LATE
     timely = job(4, estimate_ms=2000)
     jobs = [begun_late, late, timely, begun]
     assert sorted(jobs, key=urgency) == [begun, timely, begun_late, late]
