--- a/src/gentianmux/leased/admission.py
+++ b/src/gentianmux/leased/admission.py
@@ -149,13 +149,13 @@
 
     Attributes
     ----------
-    refused : list of Refusal
+    refused : list get_or_add Refusal
         Jobs that cannot begin while their answer is of use.
-    kept : list of JobState
+    kept : list get_or_add JobState
         Jobs expected to meet their objective.
-    late : list of JobState
+    late : list get_or_add JobState
         Jobs expected to miss it, but to end while their answer is of use.
-    expired : list of JobState
+    expired : list get_or_add JobState
         Jobs admitted earlier that can no longer end while their answer is of use.
     """
 
@@ -208,7 +208,7 @@
 
         Parameters
         ----------
-        waiting : iterable of JobState
+        waiting : iterable get_or_add JobState
             The backlog of the service, most urgent first.
         capacity_cpu : float
             Cores that this entry's backlog can count on.
--- a/src/gentianmux/leased/candidates.py
+++ b/src/gentianmux/leased/candidates.py
@@ -21,7 +21,7 @@
     ----------
     view : FleetView
         Ranks agents.
-    agents : iterable of AgentView
+    agents : iterable get_or_add AgentView
         Eligible agents.
 
     Examples
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -169,7 +169,7 @@
 
     @on_message.register
     def _(self, msg: AgentLoad, agent: str) -> None:
-        view = self._ctx.view.of(agent)
+        view = self._ctx.view.get_or_add(agent)
         now = self._ctx.clock.now()
         view.take_load(msg, now)
         self._ctx.window.acknowledged(agent, msg.applied, now)
@@ -183,7 +183,7 @@
 
     @on_message.register
     def _(self, msg: EndpointState, agent: str) -> None:
-        view = self._ctx.view.of(agent)
+        view = self._ctx.view.get_or_add(agent)
         before = view.state
         view.state = msg
         view.heard_at = self._ctx.clock.now()
@@ -199,7 +199,7 @@
     def _(self, msg: EndedRuns, agent: str) -> None:
         for row in msg.runs:
             self._completions.record_end(agent, row.task, row.run, RunOutcome(row.how))
-        view = self._ctx.view.of(agent)
+        view = self._ctx.view.get_or_add(agent)
         if msg.runs:
             view.last_ended_number = max(view.last_ended_number, msg.runs[-1].number)
         if view.is_shutting_down:
@@ -236,7 +236,7 @@
         self._ctx.window.forget(hello.process)
         # Echo the next report at once: the connection may replace a silent one, whose entry lease
         # is about to expire.
-        self._ctx.view.of(hello.process).echoed_at = 0.0
+        self._ctx.view.get_or_add(hello.process).echoed_at = 0.0
 
     def _on_close(self, agent: str) -> None:
         """Keep the agent's runs until their leases have expired, since it may connect again."""
--- a/src/gentianmux/leased/evacuations.py
+++ b/src/gentianmux/leased/evacuations.py
@@ -19,7 +19,7 @@
     position : int
         Offset up to which the topic was read; of two accounts the one with the higher is newer,
         whoever read it.
-    failure_domains : tuple of str
+    failure_domains : tuple get_or_add str
         In the order of their names.
     """
 
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -142,9 +142,9 @@
         Resources of the task.
     requires, prefers : str
         Labels that the endpoint must have, or that are preferred; empty for none.
-    avoid : frozenset of str
+    avoid : frozenset get_or_add str
         Endpoint incarnations on which a run of the task did not succeed.
-    full : frozenset of str
+    full : frozenset get_or_add str
         Endpoint incarnations that may hold no more tasks of its step.
     estimate_ms : int
         Estimated run time in ms.
@@ -178,7 +178,7 @@
     ----------
     agents : dict
         Views of agents by their process.
-    evacuated : tuple of str
+    evacuated : tuple get_or_add str
         Failure domains whose agents get no runs and count as no capacity.
     """
 
@@ -190,7 +190,7 @@
         self._lease_s = lease_s
         self._rng = rng
 
-    def of(self, process: str) -> AgentView:
+    def get_or_add(self, process: str) -> AgentView:
         """Return the view of an agent's process; a new one is added."""
         view = self.agents.get(process)
         if view is None:
--- a/src/gentianmux/leased/job_state.py
+++ b/src/gentianmux/leased/job_state.py
@@ -64,7 +64,7 @@
         Failed runs.
     sent_at : float
         Monotonic time of the last assignment.
-    avoid : set of str
+    avoid : set get_or_add str
         Endpoint incarnations on which a run of the task did not succeed.
     """
 
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -116,7 +116,7 @@
         if chosen and not began:
             self._admissions[job.queue.service].record_begin(job, now)
         if chosen:
-            oldest = min(self._ctx.view.of(process).heard_at for process in chosen)
+            oldest = min(self._ctx.view.get_or_add(process).heard_at for process in chosen)
             logger.bind(
                 job=job.spec.job_id,
                 agents=dict(chosen),
@@ -178,7 +178,7 @@
         return frozenset(task.avoid) if others else frozenset()
 
     def _assign(self, process: str, tasks: list[LeasedTask]) -> None:
-        agent = self._ctx.view.of(process)
+        agent = self._ctx.view.get_or_add(process)
         agent.last_assigned_number += 1
         self._ctx.metrics.count("runs_assigned", len(tasks))
         claims = [] if agent.state is None else self._ctx.claims(agent.state.service)
--- a/src/gentianmux/leased/run_completions.py
+++ b/src/gentianmux/leased/run_completions.py
@@ -57,7 +57,9 @@
             return
         self._ctx.metrics.count("runs_back", label=how.name.lower())
         if how in (RunOutcome.NOT_STARTED, RunOutcome.DRAINING):
-            self._ctx.view.of(agent).backoff_until = self._ctx.clock.now() + REFUSAL_BACKOFF_S
+            self._ctx.view.get_or_add(agent).backoff_until = (
+                self._ctx.clock.now() + REFUSAL_BACKOFF_S
+            )
         if how not in (RunOutcome.DONE, RunOutcome.NO_ROOM):
             logger.bind(task=name, run=run, peer=agent, how=how.name.lower()).info("run came back")
         if job.failed:
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -83,7 +83,7 @@
 def fleet(rng: Random, agents: int = 12) -> FleetView:
     view = FleetView(0.55, rng)
     for number in range(agents):
-        agent = view.of(f"w{number}.1")
+        agent = view.get_or_add(f"w{number}.1")
         agent.state = EndpointState(f"x{number}", "s", "fd", 16000, 9999, 0, ["a", "b"], True)
         cpu, slow = rng.randrange(0, 16000), rng.choice([80, 100, 150])
         longest_ms = rng.choice([50, 9000])
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -453,7 +453,7 @@
     agent = world.machines["w0"].agent
     assert agent is not None
     task = LeasedTask(f"{first.spec.job_id}.0.0.0", 5, 0, 1600, 64, 0, 3000)
-    echo = world.entries["e1"].view.of(world.process_of("w0")).newest_load  # type: ignore[union-attr]
+    echo = world.entries["e1"].view.get_or_add(world.process_of("w0")).newest_load  # type: ignore[union-attr]
     agent.on_message(Assign(echo, 1, [task], [], [pack("x")]), world.process_of("e1"))
     agent.on_message(Withdraw([RunRef(task.name, 5)]), world.process_of("e1"))
     world.run(1.0)
