--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -186,7 +186,7 @@
         view = self._ctx.view.get_or_add(agent)
         before = view.state
         view.state = msg
-        view.heard_at = self._ctx.clock.now()
+        view.last_heard_at = self._ctx.clock.now()
         if before != msg:
             logger.bind(
                 peer=agent, endpoint=msg.incarnation, accepting=msg.accepting, service=msg.service
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -39,7 +39,7 @@
     ----------
     state : EndpointState or None
         The agent's endpoint; None before it is known.
-    heard_at : float
+    last_heard_at : float
         Monotonic time of the last report.
     newest_load : int
         Number of the newest load report.
@@ -65,7 +65,7 @@
 
     process: str
     state: EndpointState | None = None
-    heard_at: float = 0.0
+    last_heard_at: float = 0.0
     newest_load: int = 0
     free: Resources = NO_RESOURCES
     slowness: float = 1.0
@@ -93,7 +93,7 @@
 
     def take_load(self, load: AgentLoad, now: float) -> None:
         """Apply a load report; an outdated one only shows that the agent is alive."""
-        self.heard_at = now
+        self.last_heard_at = now
         if load.number <= self.newest_load:
             return
         self.newest_load = load.number
@@ -110,7 +110,7 @@
         Counts from the time of that report: it may be old, and if it counted as an echo of the
         present, the next echo could be left out, and the entry lease would expire and end its runs.
         """
-        self.echoed_at = max(self.echoed_at, self.heard_at)
+        self.echoed_at = max(self.echoed_at, self.last_heard_at)
 
     @property
     def is_shutting_down(self) -> bool:
@@ -119,7 +119,7 @@
 
     def is_fresh(self, now: float) -> bool:
         """Whether the agent has reported lately."""
-        return now - self.heard_at <= MAX_REPORT_AGE_S
+        return now - self.last_heard_at <= MAX_REPORT_AGE_S
 
 
 class ExpectedAgent(NamedTuple):
@@ -205,7 +205,7 @@
     def is_expired(self, process: str, now: float) -> bool:
         """Whether every lease of the agent's runs has expired."""
         view = self.agents.get(process)
-        return view is None or now > leases_expire_at(view.heard_at, self._lease_s)
+        return view is None or now > leases_expire_at(view.last_heard_at, self._lease_s)
 
     def is_reachable(self, now: float) -> bool:
         """Whether any agent with an endpoint has reported lately."""
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -178,15 +178,15 @@
 @pytest.mark.parametrize("position", [3, 7])
 def test_an_update_that_is_not_newer_changes_nothing(position: int) -> None:
     known = feed()
-    known.offered(Evacuations(7, ("fd1",)), "peer")
-    known.offered(Evacuations(position, ()), "peer")
+    known.apply_if_newer(Evacuations(7, ("fd1",)), "peer")
+    known.apply_if_newer(Evacuations(position, ()), "peer")
     assert known.current == Evacuations(7, ("fd1",))
 
 
 def test_a_store_that_lags_behind_a_peer_restores_no_evacuation() -> None:
     known = feed()
     known.apply_snapshot(["fd1"], 4)
-    known.offered(Evacuations(6, ("fd2",)), "peer")
+    known.apply_if_newer(Evacuations(6, ("fd2",)), "peer")
     known.apply_changes([], 5)
     assert known.current.failure_domains == ("fd2",)
     known.apply_changes([("fd1", False), ("fd2", True)], 7)
