--- a/src/gentianmux/coordinator.py
+++ b/src/gentianmux/coordinator.py
@@ -310,7 +310,7 @@
         self._ctx.placement.place(job)
         self._finish_if_done(job)
 
-    def run_backlog(self) -> None:
+    def run_backlog_loop(self) -> None:
         """Place what waits and end what is past its time, for as long as the process lives."""
         while True:
             gevent.sleep(RETRY_S)
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -42,7 +42,7 @@
 from .payloads import unpack
 from .resources import Resources
 from .run_starter import RunStarts
-from .run_stops import RunStops
+from .run_stopper import RunStops
 from .run_table import Finished, RunTable
 from .run_watch import RunWatch
 from .settings import LeasedSettings
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -248,7 +248,9 @@
         """Agents that serve a service and have not refused a run lately."""
         return [agent for agent in self.serving(service, now) if now >= agent.backoff_until]
 
-    def expect(self, node: str, service: str, failure_domain: str, cpu: int, now: float) -> None:
+    def expect_agent(
+        self, node: str, service: str, failure_domain: str, cpu: int, now: float
+    ) -> None:
         """Count an announced agent as capacity until it reports, for ``EXPECTED_S`` at most.
 
         While only the first agents have connected after a restart of everything, jobs would
--- a/src/gentianmux/leased/run_watch.py
+++ b/src/gentianmux/leased/run_watch.py
@@ -3,7 +3,7 @@
 from .agent_context import AgentContext
 from .model import RunOutcome
 from .progress import SLOW_FACTOR
-from .run_stops import RunStops
+from .run_stopper import RunStops
 from .run_table import Phase, Run
 
 SLOW_MARGIN_MS = 100
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -319,8 +319,8 @@
 def test_announced_agents_count_as_capacity_until_they_report_or_expire() -> None:
     view = FleetView(0.55, Random(1))
     for node in ("w1", "w2"):
-        view.expect(node, "s", "fd1", 16000, 10.0)
-    view.expect("w3", "other", "fd1", 16000, 10.0)
+        view.expect_agent(node, "s", "fd1", 16000, 10.0)
+    view.expect_agent("w3", "other", "fd1", 16000, 10.0)
     assert view.capacity_cpu("s", 10.1) == 32.0
     agent = view.get_or_add("w1.5")
     agent.state = EndpointState("x", "s", "fd", 16000, 1000, 0, [], True)
