--- a/src/gentianmux/coordinator.py
+++ b/src/gentianmux/coordinator.py
@@ -218,7 +218,7 @@
             self._ctx.metrics.count("wasted", label=f"refused_{code.label}")
         else:
             self._ctx.placement.loads[sender].served()
-            self._ctx.placement.on_ended(sender, job.service, ResultCode(result.code))
+            self._ctx.placement.on_task_ended(sender, job.service, ResultCode(result.code))
 
     def _finish_if_done(self, job: Job) -> None:
         if job.open or job.key not in self.jobs:
--- a/src/gentianmux/executor.py
+++ b/src/gentianmux/executor.py
@@ -274,9 +274,9 @@
         except Exception as exc:
             logger.bind(job=job.key, code=int(ResultCode.INTERNAL)).exception("task failed")
             run = TaskOutcome(ResultCode.TASK_UNKNOWN, type(exc).__name__)
-        self.on_ended(job, record, run)
+        self.on_task_ended(job, record, run)
 
-    def on_ended(self, job: JobRecord, record: TaskRecord, run: TaskOutcome) -> None:
+    def on_task_ended(self, job: JobRecord, record: TaskRecord, run: TaskOutcome) -> None:
         """Take in how a task ended."""
         ran_ms = (self._ctx.now() - record.state_since) * 1000
         result = TaskResult(
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -171,7 +171,7 @@
     def _(self, msg: AgentLoad, agent: str) -> None:
         view = self._ctx.view.get_or_add(agent)
         now = self._ctx.clock.now()
-        view.take_load(msg, now)
+        view.apply_report(msg, now)
         self._ctx.window.acknowledged(agent, msg.applied, now)
         self._config_transfer.on_version(agent, msg.config_version)
         if view.free.cpu > 0:
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -91,7 +91,7 @@
         self._pending[number] = self._pending.get(number, NO_RESOURCES).plus(need)
         self.free = self.free.minus(need)
 
-    def take_load(self, load: AgentLoad, now: float) -> None:
+    def apply_report(self, load: AgentLoad, now: float) -> None:
         """Apply a load report; an outdated one only shows that the agent is alive."""
         self.last_heard_at = now
         if load.number <= self.newest_load:
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -118,7 +118,7 @@
         agent = view.get_or_add(f"{name}.1")
         agent.state = EndpointState(f"{name}-x", "s", "fd1", 16000, 999, 0, ["a"], True)
         load = AgentLoad(1, 0, cpu, 999, 0, (slowness or {}).get(name, 100), 1, 1, 9000)
-        agent.take_load(load, now)
+        agent.apply_report(load, now)
     return view
 
 
@@ -139,7 +139,7 @@
     agent = view.get_or_add("a.1")
     agent.reserve(1, Resources(1600, 64))
     assert view.choose(PlacementRequest("s", Resources(1600, 64)), view.eligible("s", 1.0)) is None
-    agent.take_load(AgentLoad(2, 1, 3000, 999, 0, 100, 1, 1, 9000), 1.1)
+    agent.apply_report(AgentLoad(2, 1, 3000, 999, 0, 100, 1, 1, 9000), 1.1)
     assert view.choose(PlacementRequest("s", Resources(1600, 64)), view.eligible("s", 1.1)) is agent
 
 
@@ -324,10 +324,10 @@
     assert view.capacity_cpu("s", 10.1) == 32.0
     agent = view.get_or_add("w1.5")
     agent.state = EndpointState("x", "s", "fd", 16000, 1000, 0, [], True)
-    agent.take_load(AgentLoad(1, 0, 100, 10, 0, 100, 1, 1, 9000), 10.2)
+    agent.apply_report(AgentLoad(1, 0, 100, 10, 0, 100, 1, 1, 9000), 10.2)
     assert view.capacity_cpu("s", 10.3) == 32.0
     assert view.capacity_cpu("other", 10.3) == 16.0
-    agent.take_load(AgentLoad(2, 0, 100, 10, 0, 100, 1, 1, 9000), 12.0)
+    agent.apply_report(AgentLoad(2, 0, 100, 10, 0, 100, 1, 1, 9000), 12.0)
     assert view.capacity_cpu("s", 12.1) == 16.0
 
 
@@ -335,7 +335,7 @@
     view = FleetView(0.55, Random(1))
     agent = view.get_or_add("w1.5")
     agent.state = EndpointState("x", "s", "fd", 16000, 1000, 0, [], True)
-    agent.take_load(AgentLoad(1, 0, 16000, 1000, 0, 100, 1, 1, 400), 10.0)
+    agent.apply_report(AgentLoad(1, 0, 16000, 1000, 0, 100, 1, 1, 400), 10.0)
     request = PlacementRequest("s", Resources(1600, 64), estimate_ms=400)
     assert view.choose(request, view.eligible("s", 10.0)) is agent
     assert view.choose(request._replace(estimate_ms=401), view.eligible("s", 10.0)) is None
