--- a/src/gentianmux/coordinator.py
+++ b/src/gentianmux/coordinator.py
@@ -112,7 +112,9 @@
         if len(self.trails) > MAX_TRAILS:
             del self.trails[next(iter(self.trails))]
 
-    def resume(self, msg: Submit, waiter: Waiter, traces: dict[str, Trace], whole: bool) -> None:
+    def resume_job(
+        self, msg: Submit, waiter: Waiter, traces: dict[str, Trace], whole: bool
+    ) -> None:
         """Go on with a job that an earlier owner began, from the traces of its tasks.
 
         Tasks without a trace start now when every agent that could hold one has answered
--- a/src/gentianmux/leased/progress.py
+++ b/src/gentianmux/leased/progress.py
@@ -14,7 +14,7 @@
 """Seconds of a run before its rate is used: one report of progress, which is rounded."""
 
 
-class Progress(NamedTuple):
+class RunProgress(NamedTuple):
     """Progress of one run.
 
     Attributes
@@ -34,7 +34,7 @@
     def seen(self, percent: float, now: float) -> "Progress":
         """Return the progress after a report."""
         if percent > self.percent or not self.moved_at:
-            return Progress(self.began, percent, now)
+            return RunProgress(self.began, percent, now)
         return self
 
     def is_stalled(self, now: float) -> bool:
--- a/src/gentianmux/trace_collector.py
+++ b/src/gentianmux/trace_collector.py
@@ -120,7 +120,7 @@
             ruling = AdmissionResult(AdmissionDecision.REFUSE, refusal)
             ctx.coordinator.apply_ruling(ruling, parked.msg, parked.waiter)
         elif traces:
-            ctx.coordinator.resume(parked.msg, parked.waiter, traces, whole)
+            ctx.coordinator.resume_job(parked.msg, parked.waiter, traces, whole)
         else:
             ctx.coordinator.apply_ruling(
                 AdmissionResult(AdmissionDecision.ADMIT), parked.msg, parked.waiter
--- a/tests/test_late_orders.py
+++ b/tests/test_late_orders.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 import pytest
-from test_leased_world import assert_kept, outcome, ready_world
+from test_leased_world import assert_invariants_hold, outcome, ready_world
 
 from bench.leased_world import Asked, World
 from gentianmux.leased.job_state import JobOutcome
@@ -53,7 +53,7 @@
         deliver()
         world.run(2.0)
         assert outcome(job) is JobOutcome.COMPLETED
-        assert_kept(world)
+        assert_invariants_hold(world)
 
 
 def test_assignment_lost_with_its_connection_is_repeated_at_once() -> None:
@@ -63,4 +63,4 @@
     world.run(0.5)
     assert outcome(job) is JobOutcome.COMPLETED
     assert job.ended_at - job.at < 0.42
-    assert_kept(world)
+    assert_invariants_hold(world)
