--- a/src/gentianmux/coordinator.py
+++ b/src/gentianmux/coordinator.py
@@ -62,9 +62,9 @@
             return
         ledger = ctx.shard_manager.owned[shard].ledger
         ruling = ledger.check(msg.key, msg.digest, msg.submitted_ms, ctx.now_ms())
-        self.apply_ruling(ruling, msg, waiter)
+        self.apply_admission(ruling, msg, waiter)
 
-    def apply_ruling(self, ruling: AdmissionResult, msg: Submit, waiter: Waiter) -> None:
+    def apply_admission(self, ruling: AdmissionResult, msg: Submit, waiter: Waiter) -> None:
         """Carry out what the ledger said."""
         if ruling.decision is AdmissionDecision.ADMIT:
             self._admit(msg, waiter, ruling.attempt)
--- a/src/gentianmux/leased/progress.py
+++ b/src/gentianmux/leased/progress.py
@@ -42,7 +42,7 @@
         since = self.moved_at or self.began
         return now - since > STALL_S and self.percent < 100
 
-    def heading_for_ms(self, now: float) -> float | None:
+    def projected_ms(self, now: float) -> float | None:
         """Projected run time in ms; None in the first ``MIN_ELAPSED_S``."""
         elapsed = now - self.began
         if elapsed < MIN_ELAPSED_S:
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -20,7 +20,7 @@
 import pytest
 from platform_deployment import Deployment, job_body, served
 from test_leased_parts import fleet
-from test_leased_world import _disturb, assert_invariants_hold, outcome, ready_world
+from test_leased_world import _inject_fault, assert_invariants_hold, outcome, ready_world
 from test_platform_adapter import REPORT, SPEC
 
 from bench.leased_endpoint import Work
@@ -381,7 +381,7 @@
         )
         world.replace_endpoint(machine.name)
     else:
-        _disturb(world, rng)
+        _inject_fault(world, rng)
 
 
 def _arrive_late(
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -232,7 +232,7 @@
     world = ready_world(agents=5, entries=3, seed=seed)
     rng = Random(seed)
     for _ in range(60):
-        _disturb(world, rng)
+        _inject_fault(world, rng)
         for _ in range(rng.randrange(4)):
             entry = rng.choice(sorted(world.entries))
             world.submit(
@@ -252,7 +252,7 @@
     return any(job.handle in each for each in handles)  # type: ignore[attr-defined]
 
 
-def _disturb(world: World, rng: Random) -> None:
+def _inject_fault(world: World, rng: Random) -> None:
     machine = world.machines[rng.choice(sorted(world.machines))]
     entry = rng.choice(sorted(world.entries))
     endpoint = machine.endpoint
