--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -103,7 +103,7 @@
 def test_a_run_is_stalled_only_without_progress() -> None:
     progress = RunProgress(0.0)
     for step in range(1, 20):
-        progress = progress.seen(step, step * 0.1)
+        progress = progress.updated(step, step * 0.1)
         assert not progress.is_stalled(step * 0.1 + 0.1)
     assert progress.is_stalled(1.9 + STALL_S + 0.01)
     assert progress.projected_ms(1.9) == pytest.approx(10_000, rel=0.01)
