--- a/src/gentianmux/leased/job_state.py
+++ b/src/gentianmux/leased/job_state.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from .model import JobSpec, QueueConfig, RunOutcome, StepSpec
-from .payloads import pack
+from .payloads import encode_payload
 from .resources import NO_RESOURCES, Resources
 
 FIRST_RUN_NUMBER = 1
@@ -140,7 +140,7 @@
         self.last_useful_start = now + useful_s - self.critical_path_s
         self.work_cpu_s = sum(s.tasks * s.need.cpu * s.estimate_ms for s in spec.steps) / 1e6
         self.cpu = sum(s.tasks * s.need.cpu for s in spec.steps) / 1000
-        self.payload = pack(spec.payload)
+        self.payload = encode_payload(spec.payload)
         self.bytes_per_task = len(self.payload) // 2 + TASK_OVERHEAD_BYTES
         self.began = False
         self.timeliness = Timeliness.OPEN
--- a/src/gentianmux/leased/payloads.py
+++ b/src/gentianmux/leased/payloads.py
@@ -14,12 +14,12 @@
 RAW, COMPRESSED = b"\0", b"\1"
 
 
-def pack(payload: str) -> bytes:
+def encode_payload(payload: str) -> bytes:
     """Encode a payload.
 
     Examples
     --------
-    >>> unpack(pack("weigh")), len(pack("weigh" * 200)) < 100
+    >>> unpack(encode_payload("weigh")), len(encode_payload("weigh" * 200)) < 100
     ('weigh', True)
     """
     raw = payload.encode()
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -8,7 +8,7 @@
 from bench.leased_world import ENDPOINT_ROOM, QUEUE, Asked, World
 from gentianmux.leased.job_state import JobOutcome
 from gentianmux.leased.model import EndpointReport, EndRecord, HoldReply, RunOutcome
-from gentianmux.leased.payloads import pack
+from gentianmux.leased.payloads import encode_payload
 from gentianmux.leased.resources import Resources
 from gentianmux.messages import Assign, EndedRuns, LeasedTask, Message, RunRef, Withdraw
 
@@ -454,7 +454,7 @@
     assert agent is not None
     task = LeasedTask(f"{first.spec.job_id}.0.0.0", 5, 0, 1600, 64, 0, 3000)
     echo = world.entries["e1"].view.get_or_add(world.process_of("w0")).newest_load  # type: ignore[union-attr]
-    agent.on_message(Assign(echo, 1, [task], [], [pack("x")]), world.process_of("e1"))
+    agent.on_message(Assign(echo, 1, [task], [], [encode_payload("x")]), world.process_of("e1"))
     agent.on_message(Withdraw([RunRef(task.name, 5)]), world.process_of("e1"))
     world.run(1.0)
     assert world.machines["w0"].endpoint.active == {}
--- a/tests/test_send_window.py
+++ b/tests/test_send_window.py
@@ -14,7 +14,7 @@
 from bench.leased_world import World
 from gentianmux.leased import send_window
 from gentianmux.leased.job_state import JobOutcome
-from gentianmux.leased.payloads import MAX_PAYLOAD_BYTES, pack, unpack
+from gentianmux.leased.payloads import MAX_PAYLOAD_BYTES, encode_payload, unpack
 from gentianmux.leased.send_window import (
     ADJUST_INTERVAL_S,
     CONGESTED_S,
@@ -118,12 +118,12 @@
 
 @given(st.text(max_size=3000))
 def test_payload_survives_encoding(payload: str) -> None:
-    assert unpack(pack(payload)) == payload
+    assert unpack(encode_payload(payload)) == payload
 
 
 def test_malformed_payloads_are_rejected() -> None:
-    bomb = pack("a" * (MAX_PAYLOAD_BYTES + 1))
-    for data in (b"", b"\2x", b"\1x", pack("a" * 1000)[:-3], bomb):
+    bomb = encode_payload("a" * (MAX_PAYLOAD_BYTES + 1))
+    for data in (b"", b"\2x", b"\1x", encode_payload("a" * 1000)[:-3], bomb):
         with pytest.raises(ValueError, match="payload"):
             unpack(data)
 
