--- a/src/gentianmux/leased/payloads.py
+++ b/src/gentianmux/leased/payloads.py
@@ -19,7 +19,7 @@
 
     Examples
     --------
-    >>> unpack(encode_payload("weigh")), len(encode_payload("weigh" * 200)) < 100
+    >>> decode_payload(encode_payload("weigh")), len(encode_payload("weigh" * 200)) < 100
     ('weigh', True)
     """
     raw = payload.encode()
@@ -29,7 +29,7 @@
     return COMPRESSED + compressed if len(compressed) < len(raw) else RAW + raw
 
 
-def unpack(data: bytes) -> str:
+def decode_payload(data: bytes) -> str:
     """Decode a payload.
 
     Raises
--- a/tests/test_send_window.py
+++ b/tests/test_send_window.py
@@ -14,7 +14,7 @@
 from bench.leased_world import World
 from gentianmux.leased import send_window
 from gentianmux.leased.job_state import JobOutcome
-from gentianmux.leased.payloads import MAX_PAYLOAD_BYTES, encode_payload, unpack
+from gentianmux.leased.payloads import MAX_PAYLOAD_BYTES, decode_payload, encode_payload
 from gentianmux.leased.send_window import (
     ADJUST_INTERVAL_S,
     CONGESTED_S,
@@ -118,14 +118,14 @@
 
 @given(st.text(max_size=3000))
 def test_payload_survives_encoding(payload: str) -> None:
-    assert unpack(encode_payload(payload)) == payload
+    assert decode_payload(encode_payload(payload)) == payload
 
 
 def test_malformed_payloads_are_rejected() -> None:
     bomb = encode_payload("a" * (MAX_PAYLOAD_BYTES + 1))
     for data in (b"", b"\2x", b"\1x", encode_payload("a" * 1000)[:-3], bomb):
         with pytest.raises(ValueError, match="payload"):
-            unpack(data)
+            decode_payload(data)
 
 
 # A simulated deployment with a congested link
