--- a/src/gentianmux/leased/job_state.py
+++ b/src/gentianmux/leased/job_state.py
@@ -12,7 +12,7 @@
 FIRST_RUN_NUMBER = 1
 """Number of a task's first run."""
 
-USEFUL_FOR = 3.0
+USEFUL_OBJECTIVE_FACTOR = 3.0
 """Multiple of its latency objective up to which an answer is of use to its caller; from the users'
 pages."""
 
@@ -136,7 +136,7 @@
         self.critical_path_s = estimate_critical_path_s(spec)
         self.objective_s = queue.stretch * self.critical_path_s + queue.target_ms / 1000
         self.latest_start = now + self.objective_s - self.critical_path_s
-        useful_s = USEFUL_MARGIN_RATIO * USEFUL_FOR * self.objective_s
+        useful_s = USEFUL_MARGIN_RATIO * USEFUL_OBJECTIVE_FACTOR * self.objective_s
         self.last_useful_start = now + useful_s - self.critical_path_s
         self.work_cpu_s = sum(s.tasks * s.need.cpu * s.estimate_ms for s in spec.steps) / 1e6
         self.cpu = sum(s.tasks * s.need.cpu for s in spec.steps) / 1000
