--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -35,7 +35,7 @@
 from .run_completions import RunCompletions
 from .shutdown import finishes_before_shutdown
 
-STEP_S = 0.01
+TICK_S = 0.01
 """Seconds between checks of deadlines and decisions; short jobs are decided within a few of
 them."""
 
@@ -256,7 +256,7 @@
 
     def _tick_and_sleep(self) -> None:
         self.step()
-        gevent.sleep(STEP_S if self._ctx.backlog else IDLE_TICK_S)
+        gevent.sleep(TICK_S if self._ctx.backlog else IDLE_TICK_S)
 
     def check_losses(self) -> None:
         """End the runs of lost agents, and close idle connections."""
