--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -43,7 +43,7 @@
 """The same while no task waits for resources: a new job is placed as it arrives, and decided
 later."""
 
-LOSS_CHECK_S = 0.05
+LOSS_CHECK_INTERVAL_S = 0.05
 """Seconds between checks for lost agents."""
 
 LAST_REQUESTS_TIMEOUT_S = 0.1
@@ -251,7 +251,7 @@
         """Spawn the periodic loops."""
         return [
             gevent.spawn(run_periodically, 0.0, self._tick_and_sleep),
-            gevent.spawn(run_periodically, LOSS_CHECK_S, self.check_losses),
+            gevent.spawn(run_periodically, LOSS_CHECK_INTERVAL_S, self.check_losses),
         ]
 
     def _tick_and_sleep(self) -> None:
