--- a/bench/leased_world.py
+++ b/bench/leased_world.py
@@ -253,7 +253,7 @@
             cpu = machine.endpoint.capacity.cpu
             view.expect_agent(machine.name, "s", machine.domain, cpu, self.time)
         self.alive.add(me.process)
-        self.every(TICK_S, me.process, entry.step)
+        self.every(TICK_S, me.process, entry.tick)
         self.every(LOSS_CHECK_INTERVAL_S, me.process, entry.check_losses)
 
     def _feed(self, clock: Clock) -> ConfigFeed:
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -255,7 +255,7 @@
         ]
 
     def _tick_and_sleep(self) -> None:
-        self.step()
+        self.tick()
         gevent.sleep(TICK_S if self._ctx.backlog else IDLE_TICK_S)
 
     def check_losses(self) -> None:
@@ -266,7 +266,7 @@
                 self._completions.lose_process(process, "silent for longer than every lease")
         self._ctx.links.close_idle()
 
-    def step(self) -> None:
+    def tick(self) -> None:
         """End jobs at their deadlines, decide waiting jobs, and place tasks."""
         now = self._ctx.clock.now()
         for handle in list(self._ctx.jobs.values()):
