--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -287,7 +287,7 @@
             ).info("link is full")
         self._ctx.metrics.gauge("link_window_bytes", window.limit)
 
-    def takes(self, spec: JobSpec) -> bool:
+    def accepts(self, spec: JobSpec) -> bool:
         """Whether a job is expected to end before this process does."""
         return finishes_before_shutdown(
             estimate_critical_path_s(spec), self._shutdown_at - self._ctx.clock.now()
--- a/src/gentianmux/platform/callers.py
+++ b/src/gentianmux/platform/callers.py
@@ -147,7 +147,7 @@
     def _submit(self, environ: dict[str, Any], queue: QueueConfig, job_id: str) -> Response:
         time_limit_s = _time_limit_s(environ, queue)
         spec = read_job(job_id, read_body(environ, self._cfg))
-        if not self._entry.takes(spec):
+        if not self._entry.accepts(spec):
             raise GentianmuxError(ResultCode.DRAINING, retry_after_ms=RETRY_AFTER_S * 1000)
         handle = self._entry.submit(spec, queue, time_limit_s)
         result = wait_for_result(self._entry, handle, environ.get("gentianmux.socket"))
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -365,10 +365,10 @@
     assert entry is not None
     short = world.submit("e0", run_s=0.5).spec
     long = world.submit("e0", run_s=4.0).spec
-    assert entry.takes(long)
+    assert entry.accepts(long)
     entry._shutdown_at = world.time + 2.0
-    assert entry.takes(short)
-    assert not entry.takes(long)
+    assert entry.accepts(short)
+    assert not entry.accepts(long)
 
 
 def test_agents_that_refuse_for_a_moment_are_not_taken_for_none() -> None:
@@ -607,14 +607,14 @@
     assert not entry.is_drained()
     world.run(0.05)
     last = world.submit("e0", tasks=1, run_s=0.05)
-    assert entry.takes(last.spec)
+    assert entry.accepts(last.spec)
     assert not entry.is_drained()
     world.run(0.1)
     assert outcome(last) is JobOutcome.COMPLETED
     assert not entry.is_drained()
     world.run(0.11)
     assert entry.is_drained()
-    assert not entry.takes(last.spec)
+    assert not entry.accepts(last.spec)
 
 
 @pytest.mark.parametrize("mbits, agents", [(2, 12), (25, 24)])
