--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -144,7 +144,7 @@
         """Monotonic time in seconds, the clock of job deadlines."""
         return self._ctx.clock.now()
 
-    def pending(self, queue: str) -> int:
+    def unstarted_jobs(self, queue: str) -> int:
         """Number of jobs of a queue that have not begun."""
         waiting = (job for job in self._ctx.backlog if not job.began)
         return sum(1 for job in waiting if job.queue.name == queue)
--- a/src/gentianmux/platform/callers.py
+++ b/src/gentianmux/platform/callers.py
@@ -120,7 +120,7 @@
         queue, rest = self._queue_of(environ)
         method = environ["REQUEST_METHOD"]
         if method == "GET" and not rest:
-            return Response(200, {"pending": self._entry.pending(queue.name)})
+            return Response(200, {"pending": self._entry.unstarted_jobs(queue.name)})
         if not _JOB_ID.match(rest):
             raise GentianmuxError(ResultCode.BAD_ID, "a job id has 16 hexadecimal digits")
         if method == "POST":
