--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -242,7 +242,7 @@
         """Keep the agent's runs until their leases have expired, since it may connect again."""
         view = self._ctx.view.agents.get(agent)
         if view is not None:
-            view.offer(NO_RESOURCES)
+            view.set_offered(NO_RESOURCES)
         self._ctx.window.forget(agent)
 
     # Periodic work
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -79,7 +79,7 @@
     echoed_at: float = 0.0
     last_ended_number: int = 0
 
-    def offer(self, room: Resources) -> None:
+    def set_offered(self, room: Resources) -> None:
         """Set the resources that the agent offers; pending assignments are deducted."""
         self._offered = room
         for taken in self._pending.values():
@@ -102,7 +102,7 @@
         self.longest_ms = load.longest_ms
         for number in [number for number in self._pending if number <= load.applied]:
             del self._pending[number]
-        self.offer(Resources(load.cpu, load.mem_mb, load.gpu))
+        self.set_offered(Resources(load.cpu, load.mem_mb, load.gpu))
 
     def mark_echoed(self) -> None:
         """Record that the newest report is echoed, with an assignment or with claims.
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -229,7 +229,7 @@
         """
         for agent in self._ctx.view.agents.values():
             if agent.sent_signature and agent.free.cpu > 0 and not self._is_useful(agent):
-                agent.offer(NO_RESOURCES)
+                agent.set_offered(NO_RESOURCES)
                 self._ctx.echo(agent, gives_back=True)
 
     def _is_useful(self, agent: AgentView) -> bool:
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -416,7 +416,7 @@
     world.machines["w0"].endpoint.active.clear()
     for view in world.entries["e0"].view.agents.values():  # type: ignore[union-attr]
         view._pending.clear()
-        view.offer(ENDPOINT_ROOM)
+        view.set_offered(ENDPOINT_ROOM)
         view.last_heard_at = world.time
     entry._placer.place()
     assert not late.handle.job.began
