--- a/src/gentianmux/leased/admission.py
+++ b/src/gentianmux/leased/admission.py
@@ -13,7 +13,7 @@
 40 % too high."""
 
 
-OVERTAKING = 4.0
+WAIT_FACTOR = 4.0
 """Ratio of a job's expected wait to the work ahead of it: more urgent jobs overtake it, tasks do
 not fill endpoints exactly, and estimates are off."""
 
@@ -68,7 +68,7 @@
     """Expected wait of a job in seconds; infinite without capacity."""
     if load.capacity_cpu <= 0:
         return float("inf")
-    return OVERTAKING * load.ahead_cpu_s / load.capacity_cpu
+    return WAIT_FACTOR * load.ahead_cpu_s / load.capacity_cpu
 
 
 def expected_late_wait_s(load: Load, arriving_cpu: float | None) -> float:
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -29,7 +29,7 @@
 def test_a_policy_holds_for_its_run_alone() -> None:
     before = admission.OVERTAKING
     plain = play(3.0, 1, BRIEF)
-    changed = play_run(Run("once", {"admission.OVERTAKING": 0.01}, 3.0, 1, BRIEF))
+    changed = play_run(Run("once", {"admission.WAIT_FACTOR": 0.01}, 3.0, 1, BRIEF))
     assert changed.refused < plain.refused
     assert before == admission.OVERTAKING
     assert play(3.0, 1, BRIEF) == plain
@@ -37,7 +37,9 @@
 
 def test_the_table_has_a_row_for_each_policy_and_load(tmp_path: Path) -> None:
     path = tmp_path / "x.toml"
-    path.write_text('loads = [1.0, 2.0]\nseeds = 2\n[policies.one]\n"admission.OVERTAKING" = 1.0\n')
+    path.write_text(
+        'loads = [1.0, 2.0]\nseeds = 2\n[policies.one]\n"admission.WAIT_FACTOR" = 1.0\n'
+    )
     experiment = read_experiment(path)
     results = [play(run.load, run.seed, BRIEF) for run in runs(experiment)]
     found = list(rows(experiment, results))
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -11,7 +11,7 @@
     DECISION_RATIO,
     LATE_PAUSE_S,
     LEAST_SEEN_S,
-    OVERTAKING,
+    WAIT_FACTOR,
     Admission,
     Decision,
     Load,
@@ -208,7 +208,7 @@
 def test_a_job_is_late_while_its_answer_is_of_use_and_then_refused() -> None:
     ahead = job(1, tasks=10, estimate_ms=500)
     ahead.began = True
-    ahead_s = OVERTAKING * ahead.work_cpu_s / 40.0
+    ahead_s = WAIT_FACTOR * ahead.work_cpu_s / 40.0
     candidate = job(2)
     now = DECISION_RATIO * candidate.objective_s
     spare_s = candidate.last_useful_start - now - ahead_s
