--- a/src/gentianmux/leased/admission.py
+++ b/src/gentianmux/leased/admission.py
@@ -20,7 +20,7 @@
 RATE_WINDOW_S = 1.0
 """Seconds over which a work rate is averaged: a part of a usual burst that holds enough jobs."""
 
-LEAST_SEEN_S = 1.0
+MIN_OBSERVATION_S = 1.0
 """Seconds after the first record before a rate is known: after a restart all callers send again at
 once."""
 
@@ -125,9 +125,9 @@
         self._forget(now)
 
     def rate(self, now: float) -> float | None:
-        """Mean rate over the last ``RATE_WINDOW_S``; None in the first ``LEAST_SEEN_S``."""
+        """Mean rate over the last ``RATE_WINDOW_S``; None in the first ``MIN_OBSERVATION_S``."""
         self._forget(now)
-        if self._first_at is None or now - self._first_at < LEAST_SEEN_S:
+        if self._first_at is None or now - self._first_at < MIN_OBSERVATION_S:
             return None
         seen_s = min(RATE_WINDOW_S, now - self._first_at)
         return sum(work for _, work in self._recent) / seen_s
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -10,7 +10,7 @@
 from gentianmux.leased.admission import (
     DECISION_RATIO,
     LATE_PAUSE_S,
-    LEAST_SEEN_S,
+    MIN_OBSERVATION_S,
     WAIT_FACTOR,
     Admission,
     Decision,
@@ -237,8 +237,8 @@
     arrivals = WorkRate()
     for _ in range(100):
         arrivals.add(10.0, 5.0)
-    assert arrivals.rate(5.0 + LEAST_SEEN_S - 0.01) is None
-    assert arrivals.rate(5.0 + LEAST_SEEN_S) == 0.0
+    assert arrivals.rate(5.0 + MIN_OBSERVATION_S - 0.01) is None
+    assert arrivals.rate(5.0 + MIN_OBSERVATION_S) == 0.0
 
 
 def test_kept_jobs_are_given_up_once_their_answer_is_of_no_use() -> None:
