--- a/src/gentianmux/leased/admission.py
+++ b/src/gentianmux/leased/admission.py
@@ -24,7 +24,7 @@
 """Seconds after the first record before a rate is known: after a restart all callers send again at
 once."""
 
-LEAST_LEFT = 0.1
+MIN_SPARE_RATIO = 0.1
 """Part of the capacity that arriving work must leave for late jobs to be reached at all; the
 estimate of what arrives is off by as much."""
 
@@ -84,7 +84,7 @@
     if arriving_cpu is None or load.capacity_cpu <= 0:
         return expected_wait_s(load)
     left = 1.0 - arriving_cpu / load.capacity_cpu
-    if left < LEAST_LEFT:
+    if left < MIN_SPARE_RATIO:
         return float("inf")
     return max(expected_wait_s(load), load.ahead_cpu_s / (load.capacity_cpu * left))
 
