--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -23,7 +23,7 @@
 """Agents considered in one placement round, whose cost then does not grow with the fleet. More than
 are compared for a task, since some may be silent, shutting down or of other services."""
 
-EXPECTED_S = 2.0
+EXPECTED_AGENT_TTL_S = 2.0
 """Seconds for which an announced agent counts as capacity before its first report; after a restart
 of all processes the agents connect sooner."""
 
@@ -251,12 +251,14 @@
     def expect_agent(
         self, node: str, service: str, failure_domain: str, cpu: int, now: float
     ) -> None:
-        """Count an announced agent as capacity until it reports, for ``EXPECTED_S`` at most.
+        """Count an announced agent as capacity until it reports, for ``EXPECTED_AGENT_TTL_S`` at most.
 
         While only the first agents have connected after a restart of everything, jobs would
         otherwise be refused for lack of capacity.
         """
-        self._expected[node] = ExpectedAgent(service, failure_domain, cpu, now + EXPECTED_S)
+        self._expected[node] = ExpectedAgent(
+            service, failure_domain, cpu, now + EXPECTED_AGENT_TTL_S
+        )
 
     def capacity_cpu(self, service: str, now: float) -> float:
         """Cores of all endpoints that serve a service; extrapolated in a large fleet."""
