--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -19,7 +19,7 @@
 """Least seconds between two rounds of sending changed claims to all agents."""
 
 
-TOGETHER = 4
+COLOCATED_TASKS = 4
 """Tasks of one job that go to one agent before the next is chosen. A job then depends on fewer
 endpoints, and its payload is sent less often; more would lengthen the queue at one agent."""
 
@@ -143,7 +143,7 @@
         colocated = 0
         for task in job.ready_tasks():
             request = self._request_for(job, task, now)
-            agent = candidates.take_last(request) if 0 < colocated < TOGETHER else None
+            agent = candidates.take_last(request) if 0 < colocated < COLOCATED_TASKS else None
             colocated = colocated + 1 if agent is not None else 1
             agent = agent or candidates.take(request)
             if agent is None or agent.state is None:
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -60,7 +60,7 @@
     fault: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     colocated = [simulate(fault, seed) for seed in SEEDS]
-    monkeypatch.setattr(placing, "TOGETHER", 1)
+    monkeypatch.setattr(placing, "COLOCATED_TASKS", 1)
     spread = [simulate(fault, seed) for seed in SEEDS]
     assert sum(each.in_time for each in colocated) >= sum(each.in_time for each in spread)
     frames = sum(each.frames for each in colocated) / sum(each.frames for each in spread)
