--- a/src/gentianmux/leased/admission.py
+++ b/src/gentianmux/leased/admission.py
@@ -165,7 +165,7 @@
     expired: list[JobState]
 
 
-class Admission:
+class AdmissionPolicy:
     """Admission policy of one service; pure.
 
     A job that was admitted in vain suspends late admissions for ``LATE_PAUSE_S``.
--- a/src/gentianmux/leased/admission_controller.py
+++ b/src/gentianmux/leased/admission_controller.py
@@ -6,7 +6,7 @@
 
 from .admission import (
     MAX_RETRY_AFTER_S,
-    Admission,
+    AdmissionPolicy,
     Decision,
     expected_wait_s,
     retry_after_s,
@@ -37,7 +37,7 @@
     """
 
     def __init__(self, ctx: EntryContext) -> None:
-        self.admissions: defaultdict[str, Admission] = defaultdict(Admission)
+        self.admissions: defaultdict[str, AdmissionPolicy] = defaultdict(AdmissionPolicy)
         self._ctx = ctx
         self._no_agent_since: dict[str, float] = {}
 
@@ -51,7 +51,7 @@
             if now >= admission.next_decision_at or not self._ctx.view.is_served(service, now):
                 self._decide_service(service, admission, now)
 
-    def _decide_service(self, service: str, admission: Admission, now: float) -> None:
+    def _decide_service(self, service: str, admission: AdmissionPolicy, now: float) -> None:
         view = self._ctx.view
         entries = max(1, view.entries(now))
         jobs = self._ctx.backlog.jobs_of(service)
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -5,7 +5,7 @@
 from loguru import logger
 
 from ..messages import Assign, LeasedTask
-from .admission import Admission
+from .admission import AdmissionPolicy
 from .candidates import Candidates
 from .claims import signature
 from .entry_context import EntryContext
@@ -45,7 +45,7 @@
         self,
         ctx: EntryContext,
         completions: RunCompletions,
-        admissions: defaultdict[str, Admission],
+        admissions: defaultdict[str, AdmissionPolicy],
     ) -> None:
         self._ctx = ctx
         self._completions = completions
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -12,7 +12,7 @@
     LATE_PAUSE_S,
     MIN_OBSERVATION_S,
     WAIT_FACTOR,
-    Admission,
+    AdmissionPolicy,
     Decision,
     Load,
     WorkRate,
@@ -191,7 +191,7 @@
 def test_each_job_is_decided_once() -> None:
     due = DECISION_RATIO * job().objective_s
     jobs = [job(number) for number in range(40)]
-    admission = Admission()
+    admission = AdmissionPolicy()
     assert admission.decide(jobs, 12.0, due - 0.01) == ([], [], [], [])
     decision = admission.decide(jobs, 12.0, due + 0.01)
     assert len(decision.kept) + len(decision.late) + len(decision.refused) == 40
@@ -213,9 +213,11 @@
     now = DECISION_RATIO * candidate.objective_s
     spare_s = candidate.last_useful_start - now - ahead_s
     assert candidate.latest_start < now + ahead_s < candidate.last_useful_start
-    assert Admission().decide([ahead, candidate], 40.0, now).late == [candidate]
-    assert Admission().decide([ahead, candidate], 40.0, now + spare_s - 0.01).late == [candidate]
-    (refusal,) = Admission().decide([ahead, candidate], 40.0, now + spare_s + 0.01).refused
+    assert AdmissionPolicy().decide([ahead, candidate], 40.0, now).late == [candidate]
+    assert AdmissionPolicy().decide([ahead, candidate], 40.0, now + spare_s - 0.01).late == [
+        candidate
+    ]
+    (refusal,) = AdmissionPolicy().decide([ahead, candidate], 40.0, now + spare_s + 0.01).refused
     assert refusal.job is candidate
     assert [retry_after_s(Load(work, 40.0)) for work in (1.0, 12.0, 900.0)] == [1, 2, 5]
 
@@ -225,7 +227,7 @@
     ahead.began = True
     now = candidate.arrived_at + DECISION_RATIO * candidate.objective_s + 0.001
     for cores, expected in ((0.0, "late"), (28.0, "late"), (34.0, "refused"), (60.0, "refused")):
-        admission = Admission()
+        admission = AdmissionPolicy()
         for tenth in range(20):
             coming = job(3, tasks=1, estimate_ms=int(cores / 1.6 * 100), arrived=tenth / 10)
             admission.record_arrival(coming, now - 1.95 + tenth / 10)
@@ -244,14 +246,14 @@
 def test_kept_jobs_are_given_up_once_their_answer_is_of_no_use() -> None:
     kept = job(1)
     kept.timeliness = Timeliness.TIMELY
-    assert Admission().decide([kept], 4.0, kept.last_useful_start - 0.01) == ([], [], [], [])
-    assert Admission().decide([kept], 4.0, kept.last_useful_start + 0.01).expired == [kept]
+    assert AdmissionPolicy().decide([kept], 4.0, kept.last_useful_start - 0.01) == ([], [], [], [])
+    assert AdmissionPolicy().decide([kept], 4.0, kept.last_useful_start + 0.01).expired == [kept]
     kept.began = True
-    assert Admission().decide([kept], 4.0, kept.last_useful_start + 0.01).expired == []
+    assert AdmissionPolicy().decide([kept], 4.0, kept.last_useful_start + 0.01).expired == []
 
 
 def test_late_admissions_pause_after_a_job_was_kept_in_vain() -> None:
-    admission = Admission()
+    admission = AdmissionPolicy()
     mistaken = job(1)
     mistaken.timeliness = Timeliness.LATE
     at = mistaken.last_useful_start + 0.01
@@ -268,7 +270,7 @@
 
 
 def test_late_admissions_pause_when_late_work_delays_timely_jobs() -> None:
-    admission = Admission()
+    admission = AdmissionPolicy()
     late, timely = job(1), job(2)
     late.timeliness = Timeliness.LATE
     now = timely.latest_start + 0.01
@@ -344,9 +346,9 @@
 def test_jobs_that_fit_expected_endpoints_are_kept() -> None:
     due = DECISION_RATIO * job().objective_s + 0.01
     jobs = [job(number) for number in range(40)]
-    alone = Admission().decide(jobs, 4.0, due)
-    coming = Admission().decide(jobs, 4.0, due, expected_cpu=20.5 * jobs[0].cpu)
+    alone = AdmissionPolicy().decide(jobs, 4.0, due)
+    coming = AdmissionPolicy().decide(jobs, 4.0, due, expected_cpu=20.5 * jobs[0].cpu)
     assert len(alone.kept) < 10
     assert coming.kept[:20] == jobs[:20]
-    all_coming = Admission().decide(jobs, 4.0, due, expected_cpu=40.5 * jobs[0].cpu)
+    all_coming = AdmissionPolicy().decide(jobs, 4.0, due, expected_cpu=40.5 * jobs[0].cpu)
     assert (all_coming.late, all_coming.refused) == ([], [])
