--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -30,7 +30,7 @@
 from .job_state import JobOutcome, JobState, estimate_critical_path_s
 from .links import Links
 from .model import JobSpec, QueueConfig, RunOutcome
-from .placing import Placer
+from .placer import Placer
 from .resources import NO_RESOURCES
 from .run_completions import RunCompletions
 from .shutdown import finishes_before_shutdown
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -9,7 +9,7 @@
 import pytest
 
 from bench.leased_world import World
-from gentianmux.leased import placing
+from gentianmux.leased import placer
 from gentianmux.leased.job_state import JobOutcome
 from gentianmux.messages import Assign, Message
 
@@ -60,7 +60,7 @@
     fault: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     colocated = [simulate(fault, seed) for seed in SEEDS]
-    monkeypatch.setattr(placing, "COLOCATED_TASKS", 1)
+    monkeypatch.setattr(placer, "COLOCATED_TASKS", 1)
     spread = [simulate(fault, seed) for seed in SEEDS]
     assert sum(each.in_time for each in colocated) >= sum(each.in_time for each in spread)
     frames = sum(each.frames for each in colocated) / sum(each.frames for each in spread)
