--- a/src/gentianmux/leased/admission_controller.py
+++ b/src/gentianmux/leased/admission_controller.py
@@ -4,7 +4,7 @@
 
 from loguru import logger
 
-from .admission import (
+from .admission_policy import (
     MAX_RETRY_AFTER_S,
     AdmissionPolicy,
     Decision,
--- a/src/gentianmux/leased/placer.py
+++ b/src/gentianmux/leased/placer.py
@@ -5,7 +5,7 @@
 from loguru import logger
 
 from ..messages import Assign, LeasedTask
-from .admission import AdmissionPolicy
+from .admission_policy import AdmissionPolicy
 from .candidates import Candidates
 from .claims import signature
 from .entry_context import EntryContext
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gentianmux.leased.admission import (
+from gentianmux.leased.admission_policy import (
     DECISION_RATIO,
     LATE_PAUSE_S,
     MIN_OBSERVATION_S,
