--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -19,7 +19,7 @@
 import gevent
 import pytest
 from platform_deployment import Deployment, job_body, served
-from test_leased_parts import fleet
+from test_leased_units import fleet
 from test_leased_world import _inject_fault, assert_invariants_hold, outcome, ready_world
 from test_platform_adapter import REPORT, SPEC
 
