--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -94,7 +94,7 @@
         self._completions = RunCompletions(self._ctx)
         self._admission_controller = AdmissionController(self._ctx)
         self._placer = Placer(self._ctx, self._completions, self._admission_controller.admissions)
-        self.leaving = False
+        self.shutting_down = False
         self._shutdown_at = float("inf")
         self._idle_since: float | None = None
         links.on_open = self._on_open
@@ -110,7 +110,7 @@
     def is_ready(self) -> bool:
         """Whether callers should be routed here."""
         reachable = self._ctx.view.is_reachable(self._ctx.clock.now())
-        return not self.leaving and self._ctx.feed.current is not None and reachable
+        return not self.shutting_down and self._ctx.feed.current is not None and reachable
 
     # Jobs
 
@@ -315,7 +315,7 @@
 
     def begin_shutdown(self, until: float) -> None:
         """Accept only jobs that are expected to end before ``until``."""
-        self.leaving = True
+        self.shutting_down = True
         self._shutdown_at = until
 
     def is_drained(self) -> bool:
--- a/src/gentianmux/platform/callers.py
+++ b/src/gentianmux/platform/callers.py
@@ -111,7 +111,7 @@
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
         if response.retry_after_s:
             headers.append(("Retry-After", str(response.retry_after_s)))
-        if self._entry.leaving:
+        if self._entry.shutting_down:
             headers.append(("Connection", "close"))
         start_response(f"{response.status} {_REASONS[response.status]}", headers)
         return [body]
