--- a/src/gentianmux/leased/admission_policy.py
+++ b/src/gentianmux/leased/admission_policy.py
@@ -149,13 +149,13 @@
 
     Attributes
     ----------
-    refused : list get_or_add Refusal
+    refused : list of Refusal
         Jobs that cannot begin while their answer is of use.
-    kept : list get_or_add JobState
+    kept : list of JobState
         Jobs expected to meet their objective.
-    late : list get_or_add JobState
+    late : list of JobState
         Jobs expected to miss it, but to end while their answer is of use.
-    expired : list get_or_add JobState
+    expired : list of JobState
         Jobs admitted earlier that can no longer end while their answer is of use.
     """
 
@@ -208,7 +208,7 @@
 
         Parameters
         ----------
-        waiting : iterable get_or_add JobState
+        waiting : iterable of JobState
             The backlog of the service, most urgent first.
         capacity_cpu : float
             Cores that this entry's backlog can count on.
--- a/src/gentianmux/leased/candidates.py
+++ b/src/gentianmux/leased/candidates.py
@@ -21,7 +21,7 @@
     ----------
     view : FleetView
         Ranks agents.
-    agents : iterable get_or_add AgentView
+    agents : iterable of AgentView
         Eligible agents.
 
     Examples
@@ -57,14 +57,14 @@
         """Whether any agent has the free resources for a task, other requirements aside."""
         return any(agent.free.fits(need) for agent in self._agents)
 
-    def take_last(self, request: "Wish") -> "AgentView | None":
+    def take_last(self, request: "PlacementRequest") -> "AgentView | None":
         """Return the agent taken last, if it suits another task of the same job."""
         if self._last_taken is None or request.is_constrained:
             return None
         agent = self._agents[self._last_taken]
         return agent if _suits(agent, request) else None
 
-    def take(self, request: "Wish") -> "AgentView | None":
+    def take(self, request: "PlacementRequest") -> "AgentView | None":
         """Return the best agent for a task; None when none suits it."""
         self._put_back_taken()
         if request.is_constrained:
@@ -84,7 +84,7 @@
             heappush(self._heap, item)
         return found
 
-    def _take_constrained(self, request: "Wish") -> "AgentView | None":
+    def _take_constrained(self, request: "PlacementRequest") -> "AgentView | None":
         agent = self._view.choose(request, self._agents)
         if agent is not None:
             # The next call pushes it again with its new rank.
@@ -95,5 +95,5 @@
         return agent
 
 
-def _suits(agent: "AgentView", request: "Wish") -> bool:
+def _suits(agent: "AgentView", request: "PlacementRequest") -> bool:
     return agent.free.fits(request.need) and request.estimate_ms <= agent.longest_ms
--- a/src/gentianmux/leased/claims.py
+++ b/src/gentianmux/leased/claims.py
@@ -21,7 +21,7 @@
 
     Parameters
     ----------
-    demands : iterable get_or_add Demand
+    demands : iterable of Demand
         Demand by urgency class, most urgent first.
     now : float
         Monotonic time in seconds.
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -142,9 +142,9 @@
         Resources of the task.
     requires, prefers : str
         Labels that the endpoint must have, or that are preferred; empty for none.
-    avoid : frozenset get_or_add str
+    avoid : frozenset of str
         Endpoint incarnations on which a run of the task did not succeed.
-    full : frozenset get_or_add str
+    full : frozenset of str
         Endpoint incarnations that may hold no more tasks of its step.
     estimate_ms : int
         Estimated run time in ms.
@@ -178,7 +178,7 @@
     ----------
     agents : dict
         Views of agents by their process.
-    evacuated : tuple get_or_add str
+    evacuated : tuple of str
         Failure domains whose agents get no runs and count as no capacity.
     """
 
--- a/src/gentianmux/leased/job_state.py
+++ b/src/gentianmux/leased/job_state.py
@@ -58,13 +58,13 @@
 
     Attributes
     ----------
-    agent, life : str
+    agent, incarnation : str
         Agent and endpoint incarnation that the task was last assigned to.
     failures : int
         Failed runs.
     sent_at : float
         Monotonic time of the last assignment.
-    avoid : set get_or_add str
+    avoid : set of str
         Endpoint incarnations on which a run of the task did not succeed.
     """
 
@@ -73,7 +73,7 @@
     phase: Phase = Phase.WAITING
     run: int = FIRST_RUN_NUMBER - 1
     agent: str = ""
-    life: str = ""
+    incarnation: str = ""
     failures: int = 0
     sent_at: float = 0.0
     avoid: set[str] = field(default_factory=set)
@@ -198,16 +198,18 @@
         if not limit:
             return frozenset()
         held = Counter(
-            t.life for t in self.tasks.values() if t.step == task.step and t.phase is Phase.ASSIGNED
+            t.incarnation
+            for t in self.tasks.values()
+            if t.step == task.step and t.phase is Phase.ASSIGNED
         )
-        return frozenset(life for life, count in held.items() if count >= limit)
+        return frozenset(incarnation for incarnation, count in held.items() if count >= limit)
 
-    def assign(self, task: TaskState, agent: str, life: str, now: float) -> int:
+    def assign(self, task: TaskState, agent: str, incarnation: str, now: float) -> int:
         """Assign a task to an agent and return the number of its run."""
         task.phase = Phase.ASSIGNED
         task.run += 1
         task.agent = agent
-        task.life = life
+        task.incarnation = incarnation
         task.sent_at = now
         self.began = True
         self._invalidate()
@@ -229,7 +231,7 @@
         if how is RunOutcome.OLD_RUN:
             task.run += OLD_RUN_INCREMENT
         elif how not in (RunOutcome.NO_ROOM, RunOutcome.DRAINING):
-            task.avoid.add(task.life)
+            task.avoid.add(task.incarnation)
         if how is RunOutcome.FAILED:
             task.failures += 1
             self.failed = self.failed or task.failures >= self.queue.max_attempts
--- a/src/gentianmux/leased/progress.py
+++ b/src/gentianmux/leased/progress.py
@@ -31,7 +31,7 @@
     percent: float = 0.0
     moved_at: float = 0.0
 
-    def updated(self, percent: float, now: float) -> "Progress":
+    def updated(self, percent: float, now: float) -> "RunProgress":
         """Return the progress after a report."""
         if percent > self.percent or not self.moved_at:
             return RunProgress(self.began, percent, now)
