--- a/src/gentianmux/leased/admission_controller.py
+++ b/src/gentianmux/leased/admission_controller.py
@@ -28,7 +28,7 @@
 
     Attributes
     ----------
-    admissions : dict
+    policies : dict
         Admission policy of each service.
 
     Examples
@@ -37,7 +37,7 @@
     """
 
     def __init__(self, ctx: EntryContext) -> None:
-        self.admissions: defaultdict[str, AdmissionPolicy] = defaultdict(AdmissionPolicy)
+        self.policies: defaultdict[str, AdmissionPolicy] = defaultdict(AdmissionPolicy)
         self._ctx = ctx
         self._no_agent_since: dict[str, float] = {}
 
@@ -47,24 +47,24 @@
         A service's backlog is examined only when one of its jobs is due or no agent serves it.
         """
         for service in self._ctx.backlog.services():
-            admission = self.admissions[service]
-            if now >= admission.next_decision_at or not self._ctx.view.is_served(service, now):
-                self._decide_service(service, admission, now)
+            policy = self.policies[service]
+            if now >= policy.next_decision_at or not self._ctx.view.is_served(service, now):
+                self._decide_service(service, policy, now)
 
-    def _decide_service(self, service: str, admission: AdmissionPolicy, now: float) -> None:
+    def _decide_service(self, service: str, policy: AdmissionPolicy, now: float) -> None:
         view = self._ctx.view
         entries = max(1, view.entries(now))
         jobs = self._ctx.backlog.jobs_of(service)
         capacity = view.capacity_cpu(service, now) / entries
         if self._ctx.window.is_limiting(now):
             # The link limits what can begin, however many endpoints are idle.
-            capacity = min(capacity, admission.begun_cpu(now))
+            capacity = min(capacity, policy.begun_cpu(now))
         if not capacity:
             self._refuse_without_agents(service, jobs, now)
             return
         self._no_agent_since.pop(service, None)
         expected = view.expected_cpu(service, now) / entries
-        decision = admission.decide(jobs, capacity, now, expected)
+        decision = policy.decide(jobs, capacity, now, expected)
         self._apply(decision, now, entries)
         self._reorder(decision.late)
 
--- a/src/gentianmux/leased/admission_policy.py
+++ b/src/gentianmux/leased/admission_policy.py
@@ -177,7 +177,7 @@
 
     Examples
     --------
-    ``admission.decide(jobs, capacity_cpu=16.0, now=clock.now())``, jobs most urgent first.
+    ``policy.decide(jobs, capacity_cpu=16.0, now=clock.now())``, jobs most urgent first.
     """
 
     def __init__(self) -> None:
--- a/src/gentianmux/leased/candidates.py
+++ b/src/gentianmux/leased/candidates.py
@@ -26,8 +26,8 @@
 
     Examples
     --------
-    ``candidates.take(request)`` returns the best agent with the resources for a task. Reserve what it
-    is assigned before the next call.
+    ``candidates.take(request)`` returns the best agent with the resources for a task. Reserve what
+    it is assigned before the next call.
     """
 
     def __init__(self, view: "FleetView", agents: Iterable["AgentView"]) -> None:
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -93,7 +93,7 @@
         )
         self._completions = RunCompletions(self._ctx)
         self._admission_controller = AdmissionController(self._ctx)
-        self._placer = Placer(self._ctx, self._completions, self._admission_controller.admissions)
+        self._placer = Placer(self._ctx, self._completions, self._admission_controller.policies)
         self.shutting_down = False
         self._shutdown_at = float("inf")
         self._idle_since: float | None = None
@@ -136,7 +136,7 @@
         self._ctx.jobs[spec.job_id] = handle
         self._ctx.backlog.put(job)
         self._ctx.metrics.count("jobs_admitted")
-        self._admission_controller.admissions[queue.service].record_arrival(job, now)
+        self._admission_controller.policies[queue.service].record_arrival(job, now)
         self._placer.place()
         return handle
 
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -79,12 +79,12 @@
     echoed_at: float = 0.0
     last_ended_number: int = 0
 
-    def set_offered(self, room: Resources) -> None:
+    def set_offered(self, resources: Resources) -> None:
         """Set the resources that the agent offers; pending assignments are deducted."""
-        self._offered = room
+        self._offered = resources
         for taken in self._pending.values():
-            room = room.minus(taken)
-        self.free = room
+            resources = resources.minus(taken)
+        self.free = resources
 
     def reserve(self, number: int, need: Resources) -> None:
         """Reserve resources for an assignment that the agent has not acknowledged yet."""
@@ -251,7 +251,7 @@
     def expect_agent(
         self, node: str, service: str, failure_domain: str, cpu: int, now: float
     ) -> None:
-        """Count an announced agent as capacity until it reports, for ``EXPECTED_AGENT_TTL_S`` at most.
+        """Count an announced agent as capacity until it reports or its announcement expires.
 
         While only the first agents have connected after a restart of everything, jobs would
         otherwise be refused for lack of capacity.
--- a/src/gentianmux/leased/placer.py
+++ b/src/gentianmux/leased/placer.py
@@ -33,7 +33,7 @@
         Jobs and agents of the entry.
     completions : RunCompletions
         Takes back runs that could not be sent.
-    admissions : dict
+    policies : dict
         Admission policy of each service, notified when a job begins.
 
     Examples
@@ -45,11 +45,11 @@
         self,
         ctx: EntryContext,
         completions: RunCompletions,
-        admissions: defaultdict[str, AdmissionPolicy],
+        policies: defaultdict[str, AdmissionPolicy],
     ) -> None:
         self._ctx = ctx
         self._completions = completions
-        self._admissions = admissions
+        self._policies = policies
         self._is_scheduled = False
         self._claims_sent_at = 0.0
 
@@ -114,7 +114,7 @@
         began = job.began
         placed = self._place_tasks(job, candidates, assignments, chosen, now)
         if chosen and not began:
-            self._admissions[job.queue.service].record_begin(job, now)
+            self._policies[job.queue.service].record_begin(job, now)
         if chosen:
             oldest = min(self._ctx.view.get_or_add(process).last_heard_at for process in chosen)
             logger.bind(
--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -101,9 +101,9 @@
     assert entry.abandoned == []
     entry.refuse(handle)
     gevent.sleep(0.01)
-    other, leaving = gsocket.socketpair()
+    other, closing = gsocket.socketpair()
     waiting_on(other, entry)
-    leaving.close()
+    closing.close()
     gevent.sleep(0.01)
     assert entry.abandoned == ["the caller left"]
 
