--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -37,7 +37,7 @@
         one.timeliness = Timeliness.LATE
 
 
-def assert_as_plain(backlog: Backlog, waiting: dict[str, JobState]) -> None:
+def assert_matches_plain(backlog: Backlog, waiting: dict[str, JobState]) -> None:
     for service in "st":
         mine = [each for each in waiting.values() if each.queue.service == service]
         assert [urgency(each) for each in backlog.jobs_of(service)] == sorted(map(urgency, mine))
@@ -76,7 +76,7 @@
             continue
         waiting[one.spec.job_id] = one
         backlog.put(one)
-        assert_as_plain(backlog, waiting)
+        assert_matches_plain(backlog, waiting)
     assert len(backlog) == len(waiting)
 
 
