--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -180,6 +180,11 @@
         Views of agents by their process.
     evacuated : tuple of str
         Failure domains whose agents get no runs and count as no capacity.
+
+    Examples
+    --------
+    ``view.get_or_add(process).apply_report(load, now)`` for each load report, and
+    ``view.choose(request, view.eligible(service, now))`` for the agent of a task.
     """
 
     def __init__(self, lease_s: float, rng: Random) -> None:
--- a/src/gentianmux/leased/job_state.py
+++ b/src/gentianmux/leased/job_state.py
@@ -126,6 +126,11 @@
         Whether any run of it may have started.
     failed : bool
         Whether a task has failed too often.
+
+    Examples
+    --------
+    ``run = job.assign(task, agent, incarnation, now)`` for each of ``job.ready_tasks()``, and
+    ``job.end_run(task.name, run, how)`` when the run has ended, until ``job.is_done``.
     """
 
     def __init__(self, spec: JobSpec, queue: QueueConfig, now: float, deadline: float) -> None:
--- a/src/gentianmux/leased/placer.py
+++ b/src/gentianmux/leased/placer.py
@@ -173,8 +173,10 @@
 
     def _avoided_incarnations(self, job: JobState, task: TaskState, now: float) -> frozenset[str]:
         """Endpoint incarnations that a task avoids; none when no others serve its service."""
-        willing = self._ctx.view.eligible(job.queue.service, now)
-        others = any(a.state is not None and a.state.incarnation not in task.avoid for a in willing)
+        eligible = self._ctx.view.eligible(job.queue.service, now)
+        others = any(
+            a.state is not None and a.state.incarnation not in task.avoid for a in eligible
+        )
         return frozenset(task.avoid) if others else frozenset()
 
     def _assign(self, process: str, tasks: list[LeasedTask]) -> None:
--- a/src/gentianmux/leased/progress.py
+++ b/src/gentianmux/leased/progress.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-STALL_S = 0.35
+STALL_TIMEOUT_S = 0.35
 """Seconds without progress before a run counts as stalled: several reports, so that the rounding of
 progress to percents does not look like a stall."""
 
@@ -25,6 +25,11 @@
         Part of its work that is done.
     moved_at : float
         Monotonic time of the last progress; 0 before the first report.
+
+    Examples
+    --------
+    >>> RunProgress(0.0).updated(10.0, now=0.5).projected_ms(now=1.0)
+    10000.0
     """
 
     began: float
@@ -40,7 +45,7 @@
     def is_stalled(self, now: float) -> bool:
         """Whether the run has made no progress for too long."""
         since = self.moved_at or self.began
-        return now - since > STALL_S and self.percent < 100
+        return now - since > STALL_TIMEOUT_S and self.percent < 100
 
     def projected_ms(self, now: float) -> float | None:
         """Projected run time in ms; None in the first ``MIN_ELAPSED_S``."""
--- a/src/gentianmux/leased/run_completions.py
+++ b/src/gentianmux/leased/run_completions.py
@@ -24,6 +24,11 @@
     ----------
     opened_at : dict
         Monotonic time at which the present connection of each agent's process was opened.
+
+    Examples
+    --------
+    ``completions.record_end(agent, task, run, how)`` when an agent reports an ended run, and
+    ``completions.lose_process(process, reason)`` when all its leases have expired.
     """
 
     def __init__(self, ctx: EntryContext) -> None:
--- a/tests/test_leased_units.py
+++ b/tests/test_leased_units.py
@@ -24,7 +24,7 @@
 from gentianmux.leased.fleet_view import MAX_AGENTS_PER_ROUND, FleetView, PlacementRequest
 from gentianmux.leased.job_state import JobState, Phase, Timeliness
 from gentianmux.leased.model import JobSpec, QueueConfig, RunOutcome, StepSpec
-from gentianmux.leased.progress import STALL_S, RunProgress
+from gentianmux.leased.progress import STALL_TIMEOUT_S, RunProgress
 from gentianmux.leased.resources import ResourcePool, Resources
 from gentianmux.leased.settings import LeasedSettings, lease_s
 from gentianmux.messages import AgentLoad, EndpointState
@@ -105,7 +105,7 @@
     for step in range(1, 20):
         progress = progress.updated(step, step * 0.1)
         assert not progress.is_stalled(step * 0.1 + 0.1)
-    assert progress.is_stalled(1.9 + STALL_S + 0.01)
+    assert progress.is_stalled(1.9 + STALL_TIMEOUT_S + 0.01)
     assert progress.projected_ms(1.9) == pytest.approx(10_000, rel=0.01)
 
 
