--- a/src/gentianmux/leased/admission_controller.py
+++ b/src/gentianmux/leased/admission_controller.py
@@ -74,7 +74,7 @@
             self._ctx.backlog.put(job)
 
     def _apply(self, decision: Decision, now: float, entries: int) -> None:
-        for job in decision.kept:
+        for job in decision.timely:
             job.timeliness = Timeliness.TIMELY
         for job in decision.late:
             job.timeliness = Timeliness.LATE
--- a/src/gentianmux/leased/admission_policy.py
+++ b/src/gentianmux/leased/admission_policy.py
@@ -1,4 +1,4 @@
-"""Decides which waiting jobs are kept, served late, or refused early."""
+"""Decides which waiting jobs are served in time, served late, or refused early."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -83,10 +83,10 @@
     """
     if arriving_cpu is None or load.capacity_cpu <= 0:
         return expected_wait_s(load)
-    left = 1.0 - arriving_cpu / load.capacity_cpu
-    if left < MIN_SPARE_RATIO:
+    spare_ratio = 1.0 - arriving_cpu / load.capacity_cpu
+    if spare_ratio < MIN_SPARE_RATIO:
         return float("inf")
-    return max(expected_wait_s(load), load.ahead_cpu_s / (load.capacity_cpu * left))
+    return max(expected_wait_s(load), load.ahead_cpu_s / (load.capacity_cpu * spare_ratio))
 
 
 def retry_after_s(load: Load) -> int:
@@ -129,8 +129,8 @@
         self._forget(now)
         if self._first_at is None or now - self._first_at < MIN_OBSERVATION_S:
             return None
-        seen_s = min(RATE_WINDOW_S, now - self._first_at)
-        return sum(work for _, work in self._recent) / seen_s
+        observed_s = min(RATE_WINDOW_S, now - self._first_at)
+        return sum(work for _, work in self._recent) / observed_s
 
     def _forget(self, now: float) -> None:
         while self._recent and self._recent[0][0] <= now - RATE_WINDOW_S:
@@ -151,7 +151,7 @@
     ----------
     refused : list of Refusal
         Jobs that cannot begin while their answer is of use.
-    kept : list of JobState
+    timely : list of JobState
         Jobs expected to meet their objective.
     late : list of JobState
         Jobs expected to miss it, but to end while their answer is of use.
@@ -160,7 +160,7 @@
     """
 
     refused: list[Refusal]
-    kept: list[JobState]
+    timely: list[JobState]
     late: list[JobState]
     expired: list[JobState]
 
@@ -184,17 +184,17 @@
         self.next_decision_at = float("inf")
         self._admitted_in_vain_at = float("-inf")
         self._late_began_at = float("-inf")
-        self._arrivals = WorkRate()
-        self._begun = WorkRate()
+        self._arrived_work = WorkRate()
+        self._begun_work = WorkRate()
 
     def record_arrival(self, job: JobState, now: float) -> None:
         """Record a job that has arrived."""
-        self._arrivals.add(job.work_cpu_s, now)
+        self._arrived_work.add(job.work_cpu_s, now)
         self.next_decision_at = min(self.next_decision_at, decision_time(job))
 
     def begun_cpu(self, now: float) -> float:
         """Rate of work that has begun, in core-seconds per second; infinite while unknown."""
-        rate = self._begun.rate(now)
+        rate = self._begun_work.rate(now)
         return float("inf") if rate is None else rate
 
     def decide(
@@ -249,7 +249,7 @@
         A timely job that begins too late, shortly after a late one has begun, suspends late
         admissions.
         """
-        self._begun.add(job.work_cpu_s, now)
+        self._begun_work.add(job.work_cpu_s, now)
         if job.timeliness is Timeliness.LATE:
             self._late_began_at = now
         elif now > job.latest_start and now - self._late_began_at < LATE_PAUSE_S:
@@ -266,9 +266,9 @@
         if now < decision_time(job):
             return True
         if now + expected_wait_s(load) <= job.latest_start:
-            decision.kept.append(job)
+            decision.timely.append(job)
             return True
-        late_begin = now + expected_late_wait_s(load, self._arrivals.rate(now))
+        late_begin = now + expected_late_wait_s(load, self._arrived_work.rate(now))
         is_useful = late_begin <= job.last_useful_start
         if is_useful and now - self._admitted_in_vain_at > LATE_PAUSE_S:
             decision.late.append(job)
--- a/src/gentianmux/leased/backlog.py
+++ b/src/gentianmux/leased/backlog.py
@@ -57,11 +57,11 @@
 
     def add(self, demand: JobDemand) -> None:
         self.total = self.total.plus(demand.total)
-        insort(self.least_cpus, demand.least.cpu)
+        insort(self.least_cpus, demand.smallest.cpu)
 
     def remove(self, demand: JobDemand) -> None:
         self.total = self.total.minus(demand.total)
-        del self.least_cpus[bisect_left(self.least_cpus, demand.least.cpu)]
+        del self.least_cpus[bisect_left(self.least_cpus, demand.smallest.cpu)]
 
 
 class _Queue:
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -227,7 +227,7 @@
         self._ctx.view.evacuated = evacuations.failure_domains
         self._placer.place_soon()
 
-    # Losses
+    # Connections
 
     def _on_open(self, hello: Hello) -> None:
         # Before any assignment: the agent may have just started.
--- a/src/gentianmux/leased/job_state.py
+++ b/src/gentianmux/leased/job_state.py
@@ -83,7 +83,7 @@
     """Resources that the ready tasks of a job need: all of them, and the smallest."""
 
     total: Resources
-    least: Resources
+    smallest: Resources
 
 
 class JobState:
--- a/src/gentianmux/leased/placer.py
+++ b/src/gentianmux/leased/placer.py
@@ -89,7 +89,7 @@
             if planned_bytes >= self._ctx.window.available_bytes():
                 self._ctx.window.record_blocked(now)
                 break
-            need = job.demand.least
+            need = job.demand.smallest
             if now >= job.deadline or not job.ready_tasks():
                 continue
             if too_large is not None and need.fits(too_large):
--- a/src/gentianmux/leased/send_window.py
+++ b/src/gentianmux/leased/send_window.py
@@ -38,7 +38,7 @@
 class _Sent(NamedTuple):
     number: int
     size: int
-    at: float
+    sent_at: float
 
 
 class SendWindow:
@@ -106,7 +106,7 @@
         while unacknowledged and unacknowledged[0].number <= applied:
             sent = unacknowledged.popleft()
             self.in_flight_bytes -= sent.size
-            self._record_delay(now - sent.at)
+            self._record_delay(now - sent.sent_at)
             self._acknowledged_by.add(agent)
 
     def forget(self, agent: str) -> None:
@@ -147,5 +147,7 @@
     def _ages(self, now: float) -> Iterator[float]:
         """Ages of each agent's oldest unacknowledged assignment."""
         return (
-            now - unacknowledged[0].at for unacknowledged in self._sent.values() if unacknowledged
+            now - unacknowledged[0].sent_at
+            for unacknowledged in self._sent.values()
+            if unacknowledged
         )
--- a/tests/test_leased_units.py
+++ b/tests/test_leased_units.py
@@ -194,14 +194,14 @@
     admission = AdmissionPolicy()
     assert admission.decide(jobs, 12.0, due - 0.01) == ([], [], [], [])
     decision = admission.decide(jobs, 12.0, due + 0.01)
-    assert len(decision.kept) + len(decision.late) + len(decision.refused) == 40
-    assert 0 < len(decision.kept) < 10
+    assert len(decision.timely) + len(decision.late) + len(decision.refused) == 40
+    assert 0 < len(decision.timely) < 10
     assert 0 < len(decision.late) < 20
-    for each in decision.kept:
+    for each in decision.timely:
         each.timeliness = Timeliness.TIMELY
     for each in decision.late:
         each.timeliness = Timeliness.LATE
-    again = admission.decide([*decision.kept, *decision.late], 0.1, due + 0.3)
+    again = admission.decide([*decision.timely, *decision.late], 0.1, due + 0.3)
     assert again == ([], [], [], [])
 
 
@@ -348,7 +348,7 @@
     jobs = [job(number) for number in range(40)]
     alone = AdmissionPolicy().decide(jobs, 4.0, due)
     coming = AdmissionPolicy().decide(jobs, 4.0, due, expected_cpu=20.5 * jobs[0].cpu)
-    assert len(alone.kept) < 10
-    assert coming.kept[:20] == jobs[:20]
+    assert len(alone.timely) < 10
+    assert coming.timely[:20] == jobs[:20]
     all_coming = AdmissionPolicy().decide(jobs, 4.0, due, expected_cpu=40.5 * jobs[0].cpu)
     assert (all_coming.late, all_coming.refused) == ([], [])
