--- a/src/gentianmux/leased/admission_controller.py
+++ b/src/gentianmux/leased/admission_controller.py
@@ -1,21 +1,21 @@
-"""Carries out what is decided of waiting jobs: keeps, serves late, or refuses them early."""
+"""Carries out admission decisions for the backlog of an entry."""
 
 from collections import defaultdict
 
 from loguru import logger
 
 from .admission_policy import (
-    LONGEST_RETRY_S,
+    MAX_RETRY_AFTER_S,
     AdmissionPolicy,
     Decision,
+    expected_wait_s,
     retry_after_s,
-    wait_s,
 )
 from .entry_context import EntryContext
 from .job_state import JobState, Timeliness
 
-NO_AGENT_S = 0.5
-"""Seconds a job waits while no agent serves its service at all: a restarted agent needs less."""
+NO_AGENT_TIMEOUT_S = 0.5
+"""Seconds for which a job waits while no agent serves its service; a restarted agent needs less."""
 
 
 class AdmissionController:
@@ -24,53 +24,57 @@
     Parameters
     ----------
     ctx : EntryContext
-        The jobs and the agents.
+        Jobs and agents of the entry.
 
     Attributes
     ----------
-    admissions : dict
-        The decisions of each service.
+    policies : dict
+        Admission policy of each service.
+
+    Examples
+    --------
+    ``controller.decide(now)`` at each tick.
     """
 
     def __init__(self, ctx: EntryContext) -> None:
-        self.admissions: defaultdict[str, AdmissionPolicy] = defaultdict(AdmissionPolicy)
+        self.policies: defaultdict[str, AdmissionPolicy] = defaultdict(AdmissionPolicy)
         self._ctx = ctx
         self._no_agent_since: dict[str, float] = {}
 
     def decide(self, now: float) -> None:
-        """Refuse early what cannot be in time, and what no agent can serve.
+        """Refuse jobs early that cannot be in time or that no agent serves.
 
-        The backlog is gone through only when a job in it is due, not each few ms.
+        A service's backlog is examined only when one of its jobs is due or no agent serves it.
         """
         for service in self._ctx.backlog.services():
-            admission = self.admissions[service]
-            if now >= admission.next_due or not self._ctx.view.is_served(service, now):
-                self._decide_service(service, admission, now)
+            policy = self.policies[service]
+            if now >= policy.next_decision_at or not self._ctx.view.is_served(service, now):
+                self._decide_service(service, policy, now)
 
-    def _decide_service(self, service: str, admission: AdmissionPolicy, now: float) -> None:
+    def _decide_service(self, service: str, policy: AdmissionPolicy, now: float) -> None:
         view = self._ctx.view
         entries = max(1, view.entries(now))
-        jobs = self._ctx.backlog.get_or_add(service)
+        jobs = self._ctx.backlog.jobs_of(service)
         capacity = view.capacity_cpu(service, now) / entries
         if self._ctx.window.is_limiting(now):
-            # More cannot be sent, however many endpoints stand idle.
-            capacity = min(capacity, admission.begun_cpu(now))
+            # The link limits what can begin, however many endpoints are idle.
+            capacity = min(capacity, policy.begun_cpu(now))
         if not capacity:
             self._refuse_without_agents(service, jobs, now)
             return
         self._no_agent_since.pop(service, None)
-        coming = view.coming_cpu(service, now) / entries
-        decision = admission.decide(jobs, capacity, now, coming)
-        self._carry_out(decision, now, entries)
+        expected = view.expected_cpu(service, now) / entries
+        decision = policy.decide(jobs, capacity, now, expected)
+        self._apply(decision, now, entries)
         self._reorder(decision.late)
 
     def _reorder(self, jobs: list[JobState]) -> None:
-        """Let jobs that will be served late wait behind the others."""
+        """Move jobs that will be served late behind the others."""
         for job in jobs:
             self._ctx.backlog.put(job)
 
-    def _carry_out(self, decision: Decision, now: float, entries: int) -> None:
-        for job in decision.kept:
+    def _apply(self, decision: Decision, now: float, entries: int) -> None:
+        for job in decision.timely:
             job.timeliness = Timeliness.TIMELY
         for job in decision.late:
             job.timeliness = Timeliness.LATE
@@ -80,7 +84,7 @@
                 slack_ms=round((job.latest_start - now) * 1000),
                 useful_ms=round((job.last_useful_start - now) * 1000),
             ).info("late service decided")
-        for job in decision.given_up:
+        for job in decision.expired:
             self._ctx.metrics.count("jobs_kept_in_vain", label=job.timeliness.value)
             self._ctx.give_up(job, "waited until its answer would be of no use")
         for job, load in decision.refused:
@@ -88,7 +92,7 @@
                 job=job.spec.job_id,
                 ahead_cpu_s=round(load.ahead_cpu_s, 2),
                 capacity_cpu=round(load.capacity_cpu, 1),
-                begins_in_ms=round(wait_s(load) * 1000),
+                begins_in_ms=round(expected_wait_s(load) * 1000),
                 slack_ms=round((job.latest_start - now) * 1000),
                 useful_ms=round((job.last_useful_start - now) * 1000),
                 entries=entries,
@@ -97,12 +101,12 @@
 
     def _refuse_without_agents(self, service: str, jobs: list[JobState], now: float) -> None:
         if self._ctx.view.is_evacuated(service, now):
-            # Nothing that could come within a job's time limit would change that.
+            # An evacuation lasts longer than any job may wait.
             for job in jobs:
                 reason = "every endpoint of its service is evacuated"
-                self._ctx.give_up(job, reason, LONGEST_RETRY_S)
+                self._ctx.give_up(job, reason, MAX_RETRY_AFTER_S)
             return
         since = self._no_agent_since.setdefault(service, now)
         for job in jobs:
-            if now - max(since, job.arrived) > NO_AGENT_S:
+            if now - max(since, job.arrived_at) > NO_AGENT_TIMEOUT_S:
                 self._ctx.give_up(job, "no agent serves its service")
--- a/src/gentianmux/leased/caller_watch.py
+++ b/src/gentianmux/leased/caller_watch.py
@@ -1,4 +1,4 @@
-"""Waits for a job's verdict while watching whether its caller is still there."""
+"""Waits for a job's result, and stops the job when its caller disconnects."""
 
 import socket
 from typing import Any
@@ -10,16 +10,16 @@
 from .job_handle import JobHandle, JobResult
 from .job_state import JobOutcome
 
-LAST_WORD_S = 0.5
-"""Seconds beyond its deadline in which a job's verdict must have come; the entry checks deadlines
-every 20 ms, so this only guards against a fault of ours."""
+RESULT_GRACE_S = 0.5
+"""Seconds after its deadline within which a job must have its result. The entry checks deadlines
+more often, so only a fault of the entry exceeds them."""
 
 READABLE = 1
-"""What the event loop is asked to watch for: bytes, or the end of the connection."""
+"""Event mask of the event loop: data to read, or the end of the connection."""
 
 
 def wait_for_result(entry: Entry, handle: JobHandle, sock: Any) -> JobResult:
-    """Wait for a job's verdict; the job is stopped when its last caller leaves.
+    """Wait for a job's result; the job is stopped when its last caller disconnects.
 
     Parameters
     ----------
@@ -28,19 +28,24 @@
     handle : JobHandle
         The job.
     sock : socket or None
-        The caller's connection.
+        The caller's connection; None to wait without watching it.
+
+    Returns
+    -------
+    JobResult
+        The result; an unknown outcome when there is none in time.
     """
     handle.waiters += 1
     watch = None if sock is None else CallerWatch(entry, handle, sock)
-    left_s = handle.job.deadline - entry.now() + LAST_WORD_S
+    remaining_s = handle.job.deadline - entry.now() + RESULT_GRACE_S
     try:
-        handle.done.wait(max(LAST_WORD_S, left_s))
+        handle.done.wait(max(RESULT_GRACE_S, remaining_s))
     finally:
         handle.waiters -= 1
         if watch is not None:
             watch.stop()
     if handle.result is None:
-        logger.bind(job=handle.job.spec.job_id).error("no verdict in time")
+        logger.bind(job=handle.job.spec.job_id).error("job has no result after its deadline")
         entry.abandon(handle, "no verdict in time")
     return handle.result or JobResult(JobOutcome.UNKNOWN, "no verdict in time")
 
@@ -48,9 +53,9 @@
 class CallerWatch:
     """Stops a job when its caller closes the connection.
 
-    The event loop itself watches, so that ``stop`` has taken effect when it returns. Ended a turn
-    later, the loop was still to watch connections that had been closed with their answers, and
-    ended the process: at once with 100 callers whose jobs were refused.
+    The event loop watches the connection itself, so that ``stop`` has taken effect when it returns.
+    A greenlet would end later: the loop would still poll a descriptor that was closed after the
+    answer, which ends the process.
 
     Parameters
     ----------
@@ -74,17 +79,17 @@
         self._watcher.start(self._on_readable)
 
     def stop(self) -> None:
-        """Watch no longer, from this moment on."""
+        """Stop watching, with immediate effect."""
         self._watcher.stop()
         self._watcher.close()
 
     def _on_readable(self) -> None:
-        """Stop the job when the caller has closed; bytes that wait are its next request."""
+        """Stop the job if the caller has disconnected; other data is its next request."""
         self._watcher.stop()
-        if self._is_gone() and self._ticket.waiters <= 1:
+        if self._is_disconnected() and self._ticket.waiters <= 1:
             self._entry.abandon(self._ticket, "the caller left")
 
-    def _is_gone(self) -> bool:
+    def _is_disconnected(self) -> bool:
         try:
             return not self._sock._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
--- a/src/gentianmux/leased/endpoint_health.py
+++ b/src/gentianmux/leased/endpoint_health.py
@@ -1,31 +1,38 @@
-"""How much work an endpoint may be given, judged by how its runs have ended."""
+"""Ejects an endpoint that fails or stalls, and measures its slowness."""
 
 from collections import deque
 
 from .resources import Resources
 
-FAILED_IN_A_ROW = 4
-"""Runs of different jobs; one task in 500 fails by its own fault, so four in a row are the
-endpoint's, and a job that can never be done fails on one endpoint once."""
+EJECT_AFTER_FAILURES = 4
+"""Consecutive failed runs of different jobs after which an endpoint is ejected. A job that can
+never be done fails on one endpoint once."""
 
-STALLS = 2
-"""Stalled runs in one look: one may be the task's, two are the endpoint's."""
+EJECT_AFTER_STALLS = 2
+"""Runs stalled at the same time after which an endpoint is ejected; one may be the task's fault."""
 
-FIRST_EJECTION_S = 1.0
-"""Seconds; about the time that half of a short disruption lasts."""
+MIN_EJECTION_S = 1.0
+"""Length of the first ejection in seconds."""
 
-LONGEST_EJECTION_S = 4.0
-"""Seconds; a healthy endpoint is back after at most this long."""
+MAX_EJECTION_S = 4.0
+"""Bound on the length of an ejection in seconds."""
 
-RECENT = 8
-"""Ended runs that the slowness is averaged over: some 0.4 s of work at 24 runs a second."""
+SLOWNESS_SAMPLES = 8
+"""Ended runs over which the slowness is averaged."""
 
-TRICKLE = 1
-"""Runs at once that a returning endpoint is tried with."""
+TRIAL_RUNS = 1
+"""Concurrent runs of an endpoint on trial."""
 
 
 class EndpointHealth:
-    """Ejects an endpoint that fails, stalls or refuses everything, and lets it back by a trickle.
+    """Ejects an endpoint that fails or stalls, and readmits it after a successful trial.
+
+    Attributes
+    ----------
+    on_trial : bool
+        Whether no run has succeeded since the last ejection.
+    ejections : int
+        Number of ejections.
 
     Examples
     --------
@@ -38,14 +45,26 @@
 
     def __init__(self) -> None:
         self._failed_jobs: set[str] = set()
-        self._ratios: deque[float] = deque(maxlen=RECENT)
-        self._until = 0.0
-        self._span_s = FIRST_EJECTION_S
+        self._ratios: deque[float] = deque(maxlen=SLOWNESS_SAMPLES)
+        self._ejected_until = 0.0
+        self._ejection_s = MIN_EJECTION_S
         self.on_trial = False
         self.ejections = 0
 
     def ended(self, job: str, failed: bool, ratio: float | None, now: float) -> None:
-        """Note how a run ended; ``ratio`` is its run time over its estimate."""
+        """Record how a run ended.
+
+        Parameters
+        ----------
+        job : str
+            Id of its job.
+        failed : bool
+            Whether the run failed.
+        ratio : float or None
+            Run time over estimate; None when it says nothing.
+        now : float
+            Monotonic time in seconds.
+        """
         if not failed:
             self._failed_jobs.clear()
             self._recovered()
@@ -53,38 +72,38 @@
                 self._ratios.append(ratio)
             return
         self._failed_jobs.add(job)
-        if len(self._failed_jobs) >= FAILED_IN_A_ROW or self.on_trial:
+        if len(self._failed_jobs) >= EJECT_AFTER_FAILURES or self.on_trial:
             self.eject(now)
 
     def stalled(self, runs: int, now: float) -> None:
-        """Note that runs stand still at the same time."""
-        if runs >= STALLS or self.on_trial:
+        """Record the number of runs that are stalled now."""
+        if runs >= EJECT_AFTER_STALLS or self.on_trial:
             self.eject(now)
 
     def eject(self, now: float) -> None:
-        """Give the endpoint nothing for a while, longer each time."""
+        """Offer nothing of the endpoint for a while, longer each time."""
         if self.is_ejected(now):
             return
-        self._until = now + self._span_s
-        self._span_s = min(LONGEST_EJECTION_S, self._span_s * 1.5)
+        self._ejected_until = now + self._ejection_s
+        self._ejection_s = min(MAX_EJECTION_S, self._ejection_s * 1.5)
         self._failed_jobs.clear()
         self.on_trial = True
         self.ejections += 1
 
     def _recovered(self) -> None:
         self.on_trial = False
-        self._span_s = FIRST_EJECTION_S
+        self._ejection_s = MIN_EJECTION_S
 
     def is_ejected(self, now: float) -> bool:
-        """Whether the endpoint gets nothing at present."""
-        return now < self._until
+        """Whether nothing of the endpoint is offered at present."""
+        return now < self._ejected_until
 
     def offered(self, free: Resources, running: int, now: float) -> Resources:
-        """How much of the free room may be used."""
-        if self.is_ejected(now) or (self.on_trial and running >= TRICKLE):
+        """Return the part of the free resources that may be used."""
+        if self.is_ejected(now) or (self.on_trial and running >= TRIAL_RUNS):
             return Resources()
         return free
 
     def slowness(self) -> float:
-        """Mean run time over estimate of the last runs; 1.0 while nothing is known."""
+        """Mean run time over estimate of the last runs; 1.0 while unknown."""
         return sum(self._ratios) / len(self._ratios) if self._ratios else 1.0
--- a/src/gentianmux/leased/entry_context.py
+++ b/src/gentianmux/leased/entry_context.py
@@ -1,4 +1,4 @@
-"""What the controllers of an entry share: its jobs, where their runs are, and how jobs end."""
+"""State that the controllers of an entry share: jobs, assigned runs, and claims."""
 
 from collections import defaultdict
 
@@ -16,21 +16,21 @@
 from .links import Links
 from .send_window import SendWindow
 
-CLAIMS_S = 0.01
-"""Seconds for which worked-out claims hold while nothing else waits than before: how soon the most
-urgent has to begin is told 10 ms wrong at most, a fourth of what the shortest job may wait."""
+CLAIMS_TTL_S = 0.01
+"""Seconds for which computed claims are reused while the backlog is unchanged; ``begin_in_ms`` is
+off by no more."""
 
-RETRY_AFTER_S = 1
-"""Seconds until a refused caller may try again: the work ahead of it is over by then."""
+DEFAULT_RETRY_AFTER_S = 1
+"""Default retry delay of refused callers in seconds."""
 
 
 class EntryContext:
-    """Read and written by all controllers of an entry.
+    """Shared state of the controllers of an entry.
 
     Parameters
     ----------
     view : FleetView
-        What is known of the agents.
+        State of the agents.
     links : Links
         Connections to agents.
     feed : ConfigFeed
@@ -40,18 +40,22 @@
     clock : Clock
         Time and deferred calls.
     link_bytes_s : float
-        What the instance's link carries, in bytes a second; 0 where it is not told.
+        Configured bandwidth of the instance's link in bytes per second; 0 when not configured.
 
     Attributes
     ----------
     jobs : dict
-        Jobs at work, by their ids.
+        Unfinished jobs by their ids.
     backlog : Backlog
-        Those of them of which tasks wait for room.
+        Those of them with tasks that wait for resources.
     window : SendWindow
-        How much may be on its way to agents.
-    out : dict
-        For each agent's process the runs that it has, by task and number, with their jobs.
+        Bound on the bytes in flight to agents.
+    assigned_runs : dict
+        For each agent's process its assigned runs, by task and number, with their jobs.
+
+    Examples
+    --------
+    ``ctx.finish(job, JobResult(JobOutcome.COMPLETED, "every task is done"))``
     """
 
     def __init__(
@@ -71,20 +75,20 @@
         self.jobs: dict[str, JobHandle] = {}
         self.backlog = Backlog()
         self.window = SendWindow(link_bytes_s)
-        self.out: defaultdict[str, dict[tuple[str, int], JobState]] = defaultdict(dict)
+        self.assigned_runs: defaultdict[str, dict[tuple[str, int], JobState]] = defaultdict(dict)
         self._claims: dict[str, list[Claim]] = {}
         self._claims_until = 0.0
-        self._claims_of = 0
+        self._claims_version = 0
 
     def finish(self, job: JobState, result: JobResult) -> None:
-        """End a job: take its runs back, and hand its verdict to those who wait."""
+        """End a job: withdraw its runs, and notify those who wait for its result."""
         handle = self.jobs.pop(job.spec.job_id, None)
         if handle is None:
             return
-        self.backlog.drop(job)
+        self.backlog.discard(job)
         self._withdraw(job)
         handle.result = result
-        took_s = self.clock.now() - job.arrived
+        took_s = self.clock.now() - job.arrived_at
         self.metrics.count("jobs_ended", label=result.outcome.value)
         self.metrics.observe("job_seconds", took_s, label=job.queue.name)
         logger.bind(
@@ -94,7 +98,7 @@
             reason=result.reason,
             took_ms=round(took_s * 1000),
             objective_ms=round(job.objective_s * 1000),
-            time_limit_ms=round((job.deadline - job.arrived) * 1000),
+            time_limit_ms=round((job.deadline - job.arrived_at) * 1000),
             began=job.began,
             tasks=len(job.tasks),
         ).info("job ended")
@@ -102,35 +106,49 @@
 
     def _withdraw(self, job: JobState) -> None:
         by_agent: dict[str, list[RunRef]] = defaultdict(list)
-        for task in job.out():
+        for task in job.assigned_tasks():
             by_agent[task.agent].append(RunRef(task.name, task.run))
-            self.out[task.agent].pop((task.name, task.run), None)
+            self.assigned_runs[task.agent].pop((task.name, task.run), None)
         for agent, refs in by_agent.items():
             self.metrics.count("runs_withdrawn", len(refs))
             self.links.send(agent, Withdraw(refs))
 
-    def give_up(self, job: JobState, reason: str, again_s: int = RETRY_AFTER_S) -> None:
-        """End a job that is not served: as not run where that is proved, else as unknown."""
+    def give_up(
+        self, job: JobState, reason: str, retry_after_s: int = DEFAULT_RETRY_AFTER_S
+    ) -> None:
+        """End a job that is not served: as not run where that is proved, else as unknown.
+
+        Parameters
+        ----------
+        job : JobState
+            The job.
+        reason : str
+            Reason that its caller is given.
+        retry_after_s : int
+            Retry delay in seconds for a job that has not run.
+        """
         if job.proved_not_run:
-            self.finish(job, JobResult(JobOutcome.NOT_RUN, reason, again_s))
+            self.finish(job, JobResult(JobOutcome.NOT_RUN, reason, retry_after_s))
         else:
             self.finish(job, JobResult(JobOutcome.UNKNOWN, reason))
 
     def claims(self, service: str) -> list[Claim]:
-        """What waits for room of a service here, by urgency; worked out anew when it changes."""
+        """Claims for the waiting tasks of a service, cached while the backlog is unchanged."""
         now = self.clock.now()
-        if now >= self._claims_until or self._claims_of != self.backlog.changes:
-            self._claims_until = now + CLAIMS_S
-            self._claims_of = self.backlog.changes
+        if now >= self._claims_until or self._claims_version != self.backlog.version:
+            self._claims_until = now + CLAIMS_TTL_S
+            self._claims_version = self.backlog.version
             self._claims.clear()
         if service not in self._claims:
             self._claims[service] = claims_of(self.backlog.demands(service), now)
         return self._claims[service]
 
     def echo(self, agent: AgentView, gives_back: bool = False) -> None:
-        """Echo an agent's newest report, and tell it what waits for room."""
+        """Echo an agent's newest load report, and send it the claims for its service."""
         claims = [] if agent.state is None else self.claims(agent.state.service)
-        agent.told = signature(claims)
-        agent.echoed()
-        msg = LoadEcho(agent.newest_load, self.feed.version, gives_back, claims, agent.seen)
+        agent.sent_signature = signature(claims)
+        agent.mark_echoed()
+        msg = LoadEcho(
+            agent.newest_load, self.feed.version, gives_back, claims, agent.last_ended_number
+        )
         self.links.send(agent.process, msg)
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -1,4 +1,4 @@
-"""What an entry knows of the agents: their endpoints, the room they offer, and who is silent."""
+"""What an entry knows of its agents: endpoints, free resources, and liveness."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -12,37 +12,55 @@
 from .resources import NO_RESOURCES, Resources
 from .shutdown import UNBOUNDED_ESTIMATE_MS
 
-SILENT_S = ENTRY_LEASE_S - 0.05
-"""Seconds without a load report after which an agent gets nothing new: what is assigned later comes
-when its chain is over, and is refused. Reports come every 0.125 or 0.25 s."""
+MAX_REPORT_AGE_S = ENTRY_LEASE_S - 0.05
+"""Age in seconds of its newest load report from which an agent gets no new runs: they would arrive
+after the entry lease has expired, and be refused."""
 
-SAMPLE = 64
-"""Agents looked at for one task; more cost time and find hardly more room."""
+MAX_AGENTS_PER_TASK = 64
+"""Agents compared for one task; more cost time and hardly find more resources."""
 
-LOOKED_AT = 256
-"""Agents looked at for one round of placing: four times the sample, so that a quarter of them may
-be silent, leaving or of other services. A round then costs the same however many there are."""
+MAX_AGENTS_PER_ROUND = 256
+"""Agents considered in one placement round, whose cost then does not grow with the fleet. More than
+are compared for a task, since some may be silent, shutting down or of other services."""
 
 EXPECTED_AGENT_TTL_S = 2.0
-"""Seconds for which an announced agent counts as capacity before it is heard of; all are connected
-1.5 s after every process has restarted."""
+"""Seconds for which an announced agent counts as capacity before its first report; after a restart
+of all processes the agents connect sooner."""
 
 SLOWNESS_STEP = 0.25
-"""Differences in speed below this are noise of eight runs with estimates 40 % off."""
+"""Resolution of slowness: smaller differences are noise, since estimates are off by up to 40 %."""
 
 
 @dataclass
 class AgentView:
-    """One agent's process as an entry sees it.
+    """An agent's process as an entry sees it.
 
     Attributes
     ----------
+    state : EndpointState or None
+        The agent's endpoint; None before it is known.
+    last_heard_at : float
+        Monotonic time of the last report.
+    newest_load : int
+        Number of the newest load report.
     free : Resources
-        Room offered, less what was assigned since the report that offered it.
+        Resources offered, less what was assigned since the report that offered them.
+    slowness : float
+        Mean run time over estimate at the endpoint.
+    last_assigned_number : int
+        Number of the last assignment.
+    backoff_until : float
+        Monotonic time until which the agent gets no runs, after a refusal.
+    sent_signature : tuple
+        Urgency classes of the claims that were sent last.
+    entries : int
+        Entries that share the agent.
+    longest_ms : int
+        Longest estimate of a run that the agent accepts, in ms.
     echoed_at : float
-        When the newest report that was echoed was heard.
-    seen : int
-        Number of the newest ended run that was taken in.
+        Monotonic time at which the newest echoed report was received.
+    last_ended_number : int
+        Number of the newest ended run that was recorded.
     """
 
     process: str
@@ -51,30 +69,30 @@
     newest_load: int = 0
     free: Resources = NO_RESOURCES
     slowness: float = 1.0
-    assigned: int = 0
+    last_assigned_number: int = 0
     _offered: Resources = NO_RESOURCES
     _pending: dict[int, Resources] = field(default_factory=dict)
-    failed_until: float = 0.0
-    told: Signature = ()
+    backoff_until: float = 0.0
+    sent_signature: Signature = ()
     entries: int = 1
     longest_ms: int = UNBOUNDED_ESTIMATE_MS
     echoed_at: float = 0.0
-    seen: int = 0
+    last_ended_number: int = 0
 
-    def set_offered(self, room: Resources) -> None:
-        """Take note of the room that the agent offers now."""
-        self._offered = room
+    def set_offered(self, resources: Resources) -> None:
+        """Set the resources that the agent offers; pending assignments are deducted."""
+        self._offered = resources
         for taken in self._pending.values():
-            room = room.minus(taken)
-        self.free = room
+            resources = resources.minus(taken)
+        self.free = resources
 
     def reserve(self, number: int, need: Resources) -> None:
-        """Take a task's room for an assignment that the agent has not reported on yet."""
+        """Reserve resources for an assignment that the agent has not acknowledged yet."""
         self._pending[number] = self._pending.get(number, NO_RESOURCES).plus(need)
         self.free = self.free.minus(need)
 
     def apply_report(self, load: AgentLoad, now: float) -> None:
-        """Take in a load report; reports overtaken by a newer one count only as a sign of life."""
+        """Apply a load report; an outdated one only shows that the agent is alive."""
         self.last_heard_at = now
         if load.number <= self.newest_load:
             return
@@ -86,26 +104,26 @@
             del self._pending[number]
         self.set_offered(Resources(load.cpu, load.mem_mb, load.gpu))
 
-    def echoed(self) -> None:
-        """Note that the newest report is echoed, be it with an assignment or with claims.
+    def mark_echoed(self) -> None:
+        """Record that the newest report is echoed, with an assignment or with claims.
 
-        It may be old, and the next one must not be left out: taken for an echo of now, it let the
-        lease chain of a pair without runs end 0.01 s before its next echo, and 12 runs with it.
+        Counts from the time of that report: it may be old, and if it counted as an echo of the
+        present, the next echo could be left out, and the entry lease would expire and end its runs.
         """
         self.echoed_at = max(self.echoed_at, self.last_heard_at)
 
     @property
-    def is_leaving(self) -> bool:
-        """Whether the agent was told to stop: it begins short runs alone."""
+    def is_shutting_down(self) -> bool:
+        """Whether the agent is shutting down and accepts only short runs."""
         return self.longest_ms != UNBOUNDED_ESTIMATE_MS
 
     def is_fresh(self, now: float) -> bool:
-        """Whether the agent was heard of lately."""
-        return now - self.last_heard_at <= SILENT_S
+        """Whether the agent has reported lately."""
+        return now - self.last_heard_at <= MAX_REPORT_AGE_S
 
 
-class Expected(NamedTuple):
-    """An announced agent that has not been heard of yet."""
+class ExpectedAgent(NamedTuple):
+    """An announced agent that has not reported yet."""
 
     service: str
     failure_domain: str
@@ -114,10 +132,22 @@
 
 
 class PlacementRequest(NamedTuple):
-    """What a task asks of an endpoint.
+    """Requirements of a task on the endpoint that runs it.
 
-    ``avoid`` names lives of endpoints on which it ended badly; ``full`` those that hold all they
-    may of its step.
+    Attributes
+    ----------
+    service : str
+        Service that the endpoint must run.
+    need : Resources
+        Resources of the task.
+    requires, prefers : str
+        Labels that the endpoint must have, or that are preferred; empty for none.
+    avoid : frozenset of str
+        Endpoint incarnations on which a run of the task did not succeed.
+    full : frozenset of str
+        Endpoint incarnations that may hold no more tasks of its step.
+    estimate_ms : int
+        Estimated run time in ms.
     """
 
     service: str
@@ -130,7 +160,7 @@
 
     @property
     def is_constrained(self) -> bool:
-        """Whether it matters on which endpoint the task runs, beyond room and speed."""
+        """Whether the task has requirements beyond resources and run time."""
         return bool(self.requires or self.prefers or self.avoid or self.full)
 
 
@@ -140,57 +170,64 @@
     Parameters
     ----------
     lease_s : float
-        The lease that agents ask of endpoints, in seconds.
+        Lease that agents request from endpoints, in seconds.
     rng : Random
         Breaks ties, so that entries do not all choose the same agent.
 
     Attributes
     ----------
+    agents : dict
+        Views of agents by their process.
     evacuated : tuple of str
-        Failure domains whose agents get nothing new and count as no capacity.
+        Failure domains whose agents get no runs and count as no capacity.
+
+    Examples
+    --------
+    ``view.get_or_add(process).apply_report(load, now)`` for each load report, and
+    ``view.choose(request, view.eligible(service, now))`` for the agent of a task.
     """
 
     def __init__(self, lease_s: float, rng: Random) -> None:
         self.agents: dict[str, AgentView] = {}
         self.evacuated: tuple[str, ...] = ()
         self._order: list[AgentView] = []
-        self._expected: dict[str, Expected] = {}
+        self._expected: dict[str, ExpectedAgent] = {}
         self._lease_s = lease_s
         self._rng = rng
 
     def get_or_add(self, process: str) -> AgentView:
-        """The view of an agent's process, made when it is new."""
+        """Return the view of an agent's process; a new one is added."""
         view = self.agents.get(process)
         if view is None:
             view = self.agents[process] = AgentView(process)
             self._order.append(view)
         return view
 
-    def forget(self, process: str) -> None:
-        """Drop an agent's process that is surely over."""
+    def remove_agent(self, process: str) -> None:
+        """Remove an agent's process whose leases have expired."""
         self._order.remove(self.agents.pop(process))
 
-    def is_over(self, process: str, now: float) -> bool:
-        """Whether nothing that the agent was assigned can still run."""
+    def is_expired(self, process: str, now: float) -> bool:
+        """Whether every lease of the agent's runs has expired."""
         view = self.agents.get(process)
         return view is None or now > leases_expire_at(view.last_heard_at, self._lease_s)
 
     def is_reachable(self, now: float) -> bool:
-        """Whether any agent with an endpoint was heard of lately."""
+        """Whether any agent with an endpoint has reported lately."""
         return any(agent.is_fresh(now) and agent.state is not None for agent in self._order)
 
     def is_served(self, service: str, now: float) -> bool:
-        """Whether some agent starts runs of a service."""
+        """Whether any agent starts runs of a service."""
         return any(self._serves(agent, service, now) for agent in self._order)
 
-    def _some(self) -> list[AgentView]:
-        if len(self._order) <= LOOKED_AT:
+    def _sample(self) -> list[AgentView]:
+        if len(self._order) <= MAX_AGENTS_PER_ROUND:
             return self._order
-        return self._rng.sample(self._order, LOOKED_AT)
+        return self._rng.sample(self._order, MAX_AGENTS_PER_ROUND)
 
     def serving(self, service: str, now: float) -> list[AgentView]:
-        """Agents, of many a sample, that were heard of lately and start runs of a service."""
-        return [agent for agent in self._some() if self._serves(agent, service, now)]
+        """Agents with a recent report that start runs of a service; a sample of a large fleet."""
+        return [agent for agent in self._sample() if self._serves(agent, service, now)]
 
     def _serves(self, agent: AgentView, service: str, now: float) -> bool:
         state = agent.state
@@ -203,7 +240,7 @@
         )
 
     def is_evacuated(self, service: str, now: float) -> bool:
-        """Whether endpoints of a service live that only an evacuation keeps from running tasks."""
+        """Whether live endpoints of a service are in evacuated failure domains."""
         return any(
             agent.state is not None
             and agent.is_fresh(now)
@@ -213,35 +250,37 @@
         )
 
     def eligible(self, service: str, now: float) -> list[AgentView]:
-        """Agents that serve a service and have not just refused a run."""
-        return [agent for agent in self.serving(service, now) if now >= agent.failed_until]
+        """Agents that serve a service and have not refused a run lately."""
+        return [agent for agent in self.serving(service, now) if now >= agent.backoff_until]
 
     def expect_agent(
         self, node: str, service: str, failure_domain: str, cpu: int, now: float
     ) -> None:
-        """Count an announced agent as capacity for a while, unless it is heard of first.
+        """Count an announced agent as capacity until it reports or its announcement expires.
 
-        Judged by the few agents that have connected in the first second after everything
-        restarts, jobs were refused that the others had room for: 65 of them on one day.
+        While only the first agents have connected after a restart of everything, jobs would
+        otherwise be refused for lack of capacity.
         """
-        self._expected[node] = Expected(service, failure_domain, cpu, now + EXPECTED_AGENT_TTL_S)
+        self._expected[node] = ExpectedAgent(
+            service, failure_domain, cpu, now + EXPECTED_AGENT_TTL_S
+        )
 
     def capacity_cpu(self, service: str, now: float) -> float:
-        """Cores of all endpoints that serve a service, extrapolated when there are many."""
+        """Cores of all endpoints that serve a service; extrapolated in a large fleet."""
         serving = self.serving(service, now)
-        looked_at = max(1, min(len(self._order), LOOKED_AT))
-        known = sum(_capacity_of(a).cpu for a in serving) / 1000 * len(self._order) / looked_at
-        return known + self.coming_cpu(service, now)
+        sampled = max(1, min(len(self._order), MAX_AGENTS_PER_ROUND))
+        known = sum(_capacity_of(a).cpu for a in serving) / 1000 * len(self._order) / sampled
+        return known + self.expected_cpu(service, now)
 
-    def coming_cpu(self, service: str, now: float) -> float:
-        """Cores of announced agents that are about to be heard of."""
+    def expected_cpu(self, service: str, now: float) -> float:
+        """Cores of announced agents that have not reported yet."""
         if not self._expected:
             return 0.0
-        heard = {instance_of(agent.process) for agent in self._order if agent.state is not None}
+        reported = {instance_of(agent.process) for agent in self._order if agent.state is not None}
         self._expected = {
             node: each
             for node, each in self._expected.items()
-            if now < each.until and node not in heard
+            if now < each.until and node not in reported
         }
         counted = (
             each.cpu
@@ -251,18 +290,18 @@
         return sum(counted) / 1000
 
     def entries(self, now: float) -> int:
-        """How many entries share the agents, this one included."""
-        return max((agent.entries for agent in self._some() if agent.is_fresh(now)), default=1)
+        """Number of entries that share the agents, this one included."""
+        return max((agent.entries for agent in self._sample() if agent.is_fresh(now)), default=1)
 
     def choose(self, request: PlacementRequest, serving: Iterable[AgentView]) -> AgentView | None:
-        """The best of some serving agents for a task; None when none has room for it."""
+        """Return the best of some serving agents for a task; None when none suits it."""
         agents = list(serving)
-        if len(agents) > SAMPLE:
-            agents = self._rng.sample(agents, SAMPLE)
-        able = [agent for agent in agents if self._suits(agent, request)]
-        if not able:
+        if len(agents) > MAX_AGENTS_PER_TASK:
+            agents = self._rng.sample(agents, MAX_AGENTS_PER_TASK)
+        suitable = [agent for agent in agents if self._suits(agent, request)]
+        if not suitable:
             return None
-        return min(able, key=lambda agent: self._cost(agent, request))
+        return min(suitable, key=lambda agent: self._sort_key(agent, request))
 
     def _suits(self, agent: AgentView, request: PlacementRequest) -> bool:
         state = agent.state
@@ -274,13 +313,17 @@
             return False
         return agent.free.fits(request.need)
 
-    def _cost(self, agent: AgentView, request: PlacementRequest) -> tuple[bool, int, float, float]:
+    def _sort_key(
+        self, agent: AgentView, request: PlacementRequest
+    ) -> tuple[bool, int, float, float]:
         state = agent.state
-        far = bool(request.prefers) and (state is None or request.prefers not in state.labels)
-        return far, *self.weight(agent)
+        lacks_preferred = bool(request.prefers) and (
+            state is None or request.prefers not in state.labels
+        )
+        return lacks_preferred, *self.rank(agent)
 
-    def weight(self, agent: AgentView) -> tuple[int, float, float]:
-        """Sort key of agents with room: the faster first, then the emptier, then by lot."""
+    def rank(self, agent: AgentView) -> tuple[int, float, float]:
+        """Sort key of agents: the faster first, then the less loaded, then at random."""
         slowness = round(max(agent.slowness, 1.0) / SLOWNESS_STEP)
         capacity = _capacity_of(agent)
         busy = capacity.minus(agent.free).dominant_share(capacity)
--- a/src/gentianmux/leased/job_state.py
+++ b/src/gentianmux/leased/job_state.py
@@ -1,4 +1,4 @@
-"""The state of one leased job at the entry that coordinates it."""
+"""State of one leased job at the entry that coordinates it."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -9,34 +9,33 @@
 from .payloads import encode_payload
 from .resources import NO_RESOURCES, Resources
 
-FIRST_RUN = 1
-"""Runs of a task are numbered from here."""
+FIRST_RUN_NUMBER = 1
+"""Number of a task's first run."""
 
 USEFUL_OBJECTIVE_FACTOR = 3.0
-"""Multiples of its latency objective up to which an answer still is of use to its caller; from the
-users' pages."""
+"""Multiple of its latency objective up to which an answer is of use to its caller; from the users'
+pages."""
 
-USEFUL_MARGIN = 0.7
-"""Part of that time which is counted on: estimates may be 40 % too high. At 1.7 times the usual
-load (``bench.leased_load``, 3 seeds) 8.8 % of jobs were not served with it, 9.5 % without."""
+USEFUL_MARGIN_RATIO = 0.7
+"""Part of that time which may be planned, since estimates are up to 40 % too high."""
 
-TASK_BYTES = 120
-"""Bytes that a task takes in an assignment beside its payload, as encoded."""
+TASK_OVERHEAD_BYTES = 120
+"""Encoded bytes of a task in an assignment, beside its payload."""
 
-OLD_RUN_STEP = 8
-"""How far a run's number leaps when an endpoint knows a newer one, from an earlier submission."""
+OLD_RUN_INCREMENT = 8
+"""Increment of a run's number when an endpoint knows a newer one, from an earlier submission."""
 
 
 class Phase(Enum):
-    """Where a task is."""
+    """Phase of a task."""
 
     WAITING = "waiting"
-    OUT = "out"
+    ASSIGNED = "assigned"
     DONE = "done"
 
 
 class Timeliness(Enum):
-    """What is expected of a waiting job."""
+    """Expected timeliness of a waiting job."""
 
     OPEN = "open"
     TIMELY = "timely"
@@ -44,7 +43,7 @@
 
 
 class JobOutcome(Enum):
-    """What became of a job."""
+    """Final outcome of a job."""
 
     COMPLETED = "completed"
     FAILED = "failed"
@@ -55,35 +54,47 @@
 
 @dataclass
 class TaskState:
-    """One task of a job; ``life`` is the life of the endpoint that it was given to last."""
+    """One task of a job.
+
+    Attributes
+    ----------
+    agent, incarnation : str
+        Agent and endpoint incarnation that the task was last assigned to.
+    failures : int
+        Failed runs.
+    sent_at : float
+        Monotonic time of the last assignment.
+    avoid : set of str
+        Endpoint incarnations on which a run of the task did not succeed.
+    """
 
     name: str
     step: int
     phase: Phase = Phase.WAITING
-    run: int = FIRST_RUN - 1
+    run: int = FIRST_RUN_NUMBER - 1
     agent: str = ""
-    life: str = ""
+    incarnation: str = ""
     failures: int = 0
     sent_at: float = 0.0
     avoid: set[str] = field(default_factory=set)
 
 
-class Waiting(NamedTuple):
-    """What the tasks of a job that can begin take: together, and the smallest of them."""
+class JobDemand(NamedTuple):
+    """Resources that the ready tasks of a job need: all of them, and the smallest."""
 
     total: Resources
-    least: Resources
+    smallest: Resources
 
 
 class JobState:
-    """A job's tasks, and what may be said of the job; pure.
+    """A job's tasks and what is known of the job; pure.
 
     Parameters
     ----------
     spec : JobSpec
-        What the caller asked for.
+        The job as its caller described it.
     queue : QueueConfig
-        The rules of its queue.
+        Configuration of its queue.
     now : float
         Monotonic time of its arrival, in seconds.
     deadline : float
@@ -92,39 +103,50 @@
     Attributes
     ----------
     objective_s : float
-        Latency objective: the stretched estimate of the longest chain, and the allowance.
+        Latency objective in seconds: the stretched estimate of the critical path, plus the
+        allowance.
     began : bool
-        Whether a task of it was handed to an agent.
+        Whether a task of it was assigned to an agent.
     timeliness : Timeliness
         Whether it is expected to be in time, once that has been decided.
     latest_start : float
-        When the job has to begin to meet its objective, by its estimate.
+        Monotonic time at which the job has to begin to meet its objective, by its estimate.
     last_useful_start : float
-        When the job has to begin for its answer to be of any use, by its estimate.
+        Monotonic time at which the job has to begin for its answer to be of use, by its estimate.
     work_cpu_s : float
         Estimated work in core-seconds.
     cpu : float
-        Cores that all its tasks take at once.
+        Cores that all its tasks need together.
     payload : bytes
-        The payload as it goes to agents.
-    bytes_a_task : int
-        What a task takes of a link: its payload goes once to each endpoint, to two tasks or more.
+        The encoded payload.
+    bytes_per_task : int
+        Bytes on the link that a task accounts for: the payload is sent once to each endpoint, which
+        gets two tasks or more.
+    may_have_run : bool
+        Whether any run of it may have started.
+    failed : bool
+        Whether a task has failed too often.
+
+    Examples
+    --------
+    ``run = job.assign(task, agent, incarnation, now)`` for each of ``job.ready_tasks()``, and
+    ``job.end_run(task.name, run, how)`` when the run has ended, until ``job.is_done``.
     """
 
     def __init__(self, spec: JobSpec, queue: QueueConfig, now: float, deadline: float) -> None:
         self.spec = spec
         self.queue = queue
-        self.arrived = now
+        self.arrived_at = now
         self.deadline = deadline
-        self.chain_s = longest_chain_s(spec)
-        self.objective_s = queue.stretch * self.chain_s + queue.target_ms / 1000
-        self.latest_start = now + self.objective_s - self.chain_s
-        useful_s = USEFUL_MARGIN * USEFUL_OBJECTIVE_FACTOR * self.objective_s
-        self.last_useful_start = now + useful_s - self.chain_s
+        self.critical_path_s = estimate_critical_path_s(spec)
+        self.objective_s = queue.stretch * self.critical_path_s + queue.target_ms / 1000
+        self.latest_start = now + self.objective_s - self.critical_path_s
+        useful_s = USEFUL_MARGIN_RATIO * USEFUL_OBJECTIVE_FACTOR * self.objective_s
+        self.last_useful_start = now + useful_s - self.critical_path_s
         self.work_cpu_s = sum(s.tasks * s.need.cpu * s.estimate_ms for s in spec.steps) / 1e6
         self.cpu = sum(s.tasks * s.need.cpu for s in spec.steps) / 1000
         self.payload = encode_payload(spec.payload)
-        self.bytes_a_task = len(self.payload) // 2 + TASK_BYTES
+        self.bytes_per_task = len(self.payload) // 2 + TASK_OVERHEAD_BYTES
         self.began = False
         self.timeliness = Timeliness.OPEN
         self.may_have_run = False
@@ -134,85 +156,87 @@
             for index in range(step.tasks):
                 name = f"{spec.job_id}.0.{number}.{index}"
                 self.tasks[name] = TaskState(name, number)
-        self._left = len(self.tasks)
+        self._unfinished = len(self.tasks)
         self._ready: list[TaskState] | None = None
-        self._waiting: Waiting | None = None
+        self._demand: JobDemand | None = None
 
     def step_of(self, task: TaskState) -> StepSpec:
         """The step that a task belongs to."""
         return self.spec.steps[task.step]
 
-    def ready(self) -> list[TaskState]:
+    def ready_tasks(self) -> list[TaskState]:
         """Waiting tasks whose earlier steps are done."""
         if self._ready is None:
-            open_steps = {t.step for t in self.tasks.values() if t.phase is not Phase.DONE}
-            free_steps = {
+            unfinished_steps = {t.step for t in self.tasks.values() if t.phase is not Phase.DONE}
+            ready_steps = {
                 number
                 for number, step in enumerate(self.spec.steps)
-                if not open_steps.intersection(step.after)
+                if not unfinished_steps.intersection(step.after)
             }
             self._ready = [
                 task
                 for task in self.tasks.values()
-                if task.phase is Phase.WAITING and task.step in free_steps
+                if task.phase is Phase.WAITING and task.step in ready_steps
             ]
         return self._ready
 
     @property
-    def waiting(self) -> Waiting:
-        """What the tasks that can begin take; nothing when none can."""
-        if self._waiting is None:
-            needs = [self.step_of(task).need for task in self.ready()]
+    def demand(self) -> JobDemand:
+        """Resources that the ready tasks need."""
+        if self._demand is None:
+            needs = [self.step_of(task).need for task in self.ready_tasks()]
             total = Resources(*map(sum, zip(*needs, strict=True))) if needs else NO_RESOURCES
-            self._waiting = Waiting(total, min(needs, default=NO_RESOURCES))
-        return self._waiting
+            self._demand = JobDemand(total, min(needs, default=NO_RESOURCES))
+        return self._demand
 
-    def _changed(self) -> None:
+    def _invalidate(self) -> None:
         self._ready = None
-        self._waiting = None
+        self._demand = None
 
-    def out(self) -> list[TaskState]:
-        """Tasks that an agent has."""
-        return [task for task in self.tasks.values() if task.phase is Phase.OUT]
+    def assigned_tasks(self) -> list[TaskState]:
+        """Tasks that are assigned to an agent."""
+        return [task for task in self.tasks.values() if task.phase is Phase.ASSIGNED]
 
     def full_endpoints(self, task: TaskState) -> frozenset[str]:
-        """Endpoints that may hold no more tasks of a task's step."""
-        most = self.step_of(task).max_per_endpoint
-        if not most:
+        """Endpoint incarnations that may get no more tasks of a task's step."""
+        limit = self.step_of(task).max_per_endpoint
+        if not limit:
             return frozenset()
         held = Counter(
-            t.life for t in self.tasks.values() if t.step == task.step and t.phase is Phase.OUT
+            t.incarnation
+            for t in self.tasks.values()
+            if t.step == task.step and t.phase is Phase.ASSIGNED
         )
-        return frozenset(life for life, count in held.items() if count >= most)
+        return frozenset(incarnation for incarnation, count in held.items() if count >= limit)
 
-    def assign(self, task: TaskState, agent: str, life: str, now: float) -> int:
-        """Hand a task to an agent and return the number of its run."""
-        task.phase = Phase.OUT
+    def assign(self, task: TaskState, agent: str, incarnation: str, now: float) -> int:
+        """Assign a task to an agent and return the number of its run."""
+        task.phase = Phase.ASSIGNED
         task.run += 1
         task.agent = agent
-        task.life = life
+        task.incarnation = incarnation
         task.sent_at = now
         self.began = True
-        self._changed()
+        self._invalidate()
         return task.run
 
-    def ended(self, name: str, run: int, how: RunOutcome) -> bool:
-        """Take in how a run ended; false for one that is not, or no longer, out."""
+    def end_run(self, name: str, run: int, how: RunOutcome) -> bool:
+        """Record how a run ended; False when the run is not, or no longer, assigned."""
         task = self.tasks.get(name)
-        if task is None or task.phase is not Phase.OUT or task.run != run:
+        if task is None or task.phase is not Phase.ASSIGNED or task.run != run:
             return False
         if not how.never_ran:
             self.may_have_run = True
-        self._changed()
+        self._invalidate()
         if how is RunOutcome.DONE:
             task.phase = Phase.DONE
-            self._left -= 1
+            self._unfinished -= 1
             return True
         task.phase = Phase.WAITING
         if how is RunOutcome.OLD_RUN:
-            task.run += OLD_RUN_STEP
+            task.run += OLD_RUN_INCREMENT
         elif how not in (RunOutcome.NO_ROOM, RunOutcome.DRAINING):
-            task.avoid.add(task.life)
+            task.avoid.add(task.incarnation)
         if how is RunOutcome.FAILED:
             task.failures += 1
             self.failed = self.failed or task.failures >= self.queue.max_attempts
@@ -220,19 +244,21 @@
 
     @property
     def is_done(self) -> bool:
-        """Whether every task has ended well."""
-        return not self._left
+        """Whether every task is done."""
+        return not self._unfinished
 
     @property
     def proved_not_run(self) -> bool:
-        """Whether nothing of the job has started, and nothing of it is out."""
-        return not self.may_have_run and not self.out()
+        """Whether no run of the job has started, and none is assigned."""
+        return not self.may_have_run and not self.assigned_tasks()
 
 
-def longest_chain_s(spec: JobSpec) -> float:
-    """Estimated run time of a job's longest chain of steps, in seconds."""
-    ends: list[int] = []
+def estimate_critical_path_s(spec: JobSpec) -> float:
+    """Estimated run time of a job's critical path, in seconds."""
+    end_times_ms: list[int] = []
     for step in spec.steps:
-        earlier = max((ends[number] for number in step.after if number < len(ends)), default=0)
-        ends.append(earlier + step.estimate_ms)
-    return max(ends, default=0) / 1000
+        start_ms = max(
+            (end_times_ms[number] for number in step.after if number < len(end_times_ms)), default=0
+        )
+        end_times_ms.append(start_ms + step.estimate_ms)
+    return max(end_times_ms, default=0) / 1000
--- a/src/gentianmux/leased/placer.py
+++ b/src/gentianmux/leased/placer.py
@@ -1,4 +1,4 @@
-"""Hands waiting tasks to agents with room, the most urgent job first."""
+"""Assigns waiting tasks to agents with free resources, the most urgent job first."""
 
 from collections import Counter, defaultdict
 
@@ -10,21 +10,18 @@
 from .claims import signature
 from .entry_context import EntryContext
 from .fleet_view import AgentView, PlacementRequest
-from .job_state import TASK_BYTES, JobState, TaskState
+from .job_state import TASK_OVERHEAD_BYTES, JobState, TaskState
 from .model import RunOutcome
 from .resources import NO_RESOURCES, Resources
 from .run_completions import RunCompletions
 
-CLAIM_AGAIN_S = 0.02
-"""Seconds between tellings of all agents that runs wait: four of the shortest waits for room."""
+CLAIM_INTERVAL_S = 0.02
+"""Least seconds between two rounds of sending changed claims to all agents."""
 
 
 COLOCATED_TASKS = 4
-"""Tasks of one job that go to one endpoint before the next is chosen. Each on the emptiest, as with
-1, a job hung on many of them: with a sixth of 12 endpoints standing still 95.5 % of jobs were in
-time, with 4 97.3 %; with as many agents killed 97.6 and 98.9 %. Frames fell by 27 %, and under 0.8,
-1.4 and 1.9 times the usual load credit was the same within its spread (5 and 6 seeds of the load
-model). All together gained no more, and is a longer queue at one agent."""
+"""Tasks of one job that go to one agent before the next is chosen. A job then depends on fewer
+endpoints, and its payload is sent less often; more would lengthen the queue at one agent."""
 
 
 class Placer:
@@ -33,87 +30,91 @@
     Parameters
     ----------
     ctx : EntryContext
-        The jobs and the agents.
-    ends : RunCompletions
-        Takes back what could not be sent.
-    admissions : dict
-        The decisions of each service, told when a job begins.
+        Jobs and agents of the entry.
+    completions : RunCompletions
+        Takes back runs that could not be sent.
+    policies : dict
+        Admission policy of each service, notified when a job begins.
 
     Examples
     --------
-    ``placing.call_soon()`` when room or jobs have come; ``placing.place()`` at once.
+    ``placer.place_soon()`` when resources or jobs have arrived; ``placer.place()`` at once.
     """
 
     def __init__(
-        self, ctx: EntryContext, ends: RunCompletions, admissions: defaultdict[str, AdmissionPolicy]
+        self,
+        ctx: EntryContext,
+        completions: RunCompletions,
+        policies: defaultdict[str, AdmissionPolicy],
     ) -> None:
         self._ctx = ctx
-        self._ends = ends
-        self._admissions = admissions
-        self._planned = False
-        self._claims_told_at = 0.0
-
-    def call_soon(self) -> None:
-        """Place after what is being handled now."""
-        if self._ctx.backlog and not self._planned:
-            self._planned = True
-            self._ctx.clock.call_soon(self._place_planned)
-
-    def _place_planned(self) -> None:
-        self._planned = False
+        self._completions = completions
+        self._policies = policies
+        self._is_scheduled = False
+        self._claims_sent_at = 0.0
+
+    def place_soon(self) -> None:
+        """Place after the current event has been handled."""
+        if self._ctx.backlog and not self._is_scheduled:
+            self._is_scheduled = True
+            self._ctx.clock.call_soon(self._place_scheduled)
+
+    def _place_scheduled(self) -> None:
+        self._is_scheduled = False
         self.place()
 
     def place(self) -> None:
-        """Hand waiting tasks to agents with room, the most urgent job first.
+        """Assign waiting tasks to agents with free resources, the most urgent job first.
 
-        Smaller tasks of less urgent jobs take the room that the urgent ones do not fit into. Left
-        empty until a larger one came free, some 2.1 of 16 to 24 cores (median) stood unused where a
-        task needs 2.5.
+        Smaller tasks of less urgent jobs use resources that are too small for the urgent ones and
+        would otherwise stay idle.
         """
         now = self._ctx.clock.now()
-        shares: dict[str, list[LeasedTask]] = defaultdict(list)
+        assignments: dict[str, list[LeasedTask]] = defaultdict(list)
         for service in self._ctx.backlog.services():
-            self._place_service(service, shares, now)
-        for process, tasks in shares.items():
+            self._place_service(service, assignments, now)
+        for process, tasks in assignments.items():
             self._assign(process, tasks)
-        self._give_back()
-        self._tell_claims(now)
+        self._return_unused()
+        self._send_claims(now)
 
-    def _place_service(self, service: str, shares: dict[str, list[LeasedTask]], now: float) -> None:
+    def _place_service(
+        self, service: str, assignments: dict[str, list[LeasedTask]], now: float
+    ) -> None:
         view = self._ctx.view
         candidates = Candidates(view, view.eligible(service, now))
         too_large: Resources | None = None
-        planned = 0
-        for job in self._ctx.backlog.get_or_add(service) if len(candidates) else ():
-            if planned >= self._ctx.window.left():
-                self._ctx.window.hold_back(now)
+        planned_bytes = 0
+        for job in self._ctx.backlog.jobs_of(service) if len(candidates) else ():
+            if planned_bytes >= self._ctx.window.available_bytes():
+                self._ctx.window.record_blocked(now)
                 break
-            need = job.waiting.least
-            if now >= job.deadline or not job.ready():
+            need = job.demand.smallest
+            if now >= job.deadline or not job.ready_tasks():
                 continue
             if too_large is not None and need.fits(too_large):
                 continue
-            before = len(job.ready())
-            placed = self._place_job(job, candidates, shares, now)
-            planned += (before - len(job.ready())) * job.bytes_a_task
-            if not placed and not candidates.has_room(need):
+            before = len(job.ready_tasks())
+            placed = self._place_job(job, candidates, assignments, now)
+            planned_bytes += (before - len(job.ready_tasks())) * job.bytes_per_task
+            if not placed and not candidates.has_resources(need):
                 too_large = need
-                if candidates.most_cpu < self._ctx.backlog.least_cpu(service):
+                if candidates.max_free_cpu < self._ctx.backlog.least_cpu(service):
                     break
 
     def _place_job(
         self,
         job: JobState,
         candidates: Candidates,
-        shares: dict[str, list[LeasedTask]],
+        assignments: dict[str, list[LeasedTask]],
         now: float,
     ) -> bool:
-        """Place what is ready of a job; false when there was no room for some of it."""
+        """Place the ready tasks of a job; False when the resources did not suffice for all."""
         chosen: Counter[str] = Counter()
         began = job.began
-        placed = self._place_tasks(job, candidates, shares, chosen, now)
+        placed = self._place_tasks(job, candidates, assignments, chosen, now)
         if chosen and not began:
-            self._admissions[job.queue.service].begins(job, now)
+            self._policies[job.queue.service].record_begin(job, now)
         if chosen:
             oldest = min(self._ctx.view.get_or_add(process).last_heard_at for process in chosen)
             logger.bind(
@@ -121,13 +122,13 @@
                 agents=dict(chosen),
                 with_room=len(candidates),
                 load_age_ms=round((now - oldest) * 1000, 1),
-                waited_ms=round((now - job.arrived) * 1000, 1),
+                waited_ms=round((now - job.arrived_at) * 1000, 1),
                 config_version=self._ctx.feed.version,
             ).info("runs placed")
         if placed:
-            self._ctx.backlog.drop(job)
+            self._ctx.backlog.discard(job)
         elif chosen:
-            # What has begun goes before what has not.
+            # Jobs that have begun precede those that have not.
             self._ctx.backlog.put(job)
         return placed
 
@@ -135,74 +136,76 @@
         self,
         job: JobState,
         candidates: Candidates,
-        shares: dict[str, list[LeasedTask]],
+        assignments: dict[str, list[LeasedTask]],
         chosen: Counter[str],
         now: float,
     ) -> bool:
-        together = 0
-        for task in job.ready():
-            request = self._wish(job, task, now)
-            agent = candidates.take_again(request) if 0 < together < COLOCATED_TASKS else None
-            together = together + 1 if agent is not None else 1
+        colocated = 0
+        for task in job.ready_tasks():
+            request = self._request_for(job, task, now)
+            agent = candidates.take_last(request) if 0 < colocated < COLOCATED_TASKS else None
+            colocated = colocated + 1 if agent is not None else 1
             agent = agent or candidates.take(request)
             if agent is None or agent.state is None:
                 return False
             run = job.assign(task, agent.process, agent.state.incarnation, now)
             step = job.step_of(task)
-            number = agent.assigned + 1
+            number = agent.last_assigned_number + 1
             agent.reserve(number, step.need)
-            self._ctx.out[agent.process][(task.name, run)] = job
-            shares[agent.process].append(
+            self._ctx.assigned_runs[agent.process][(task.name, run)] = job
+            assignments[agent.process].append(
                 LeasedTask(task.name, run, 0, *step.need, step.estimate_ms)
             )
             chosen[agent.process] += 1
         return True
 
-    def _wish(self, job: JobState, task: TaskState, now: float) -> PlacementRequest:
+    def _request_for(self, job: JobState, task: TaskState, now: float) -> PlacementRequest:
         step = job.step_of(task)
         return PlacementRequest(
             job.queue.service,
             step.need,
             step.requires,
             step.prefers,
-            self._avoided(job, task, now) if task.avoid else frozenset(),
+            self._avoided_incarnations(job, task, now) if task.avoid else frozenset(),
             job.full_endpoints(task),
             step.estimate_ms,
         )
 
-    def _avoided(self, job: JobState, task: TaskState, now: float) -> frozenset[str]:
-        """Lives on which a task ended badly, unless no others serve its service."""
-        willing = self._ctx.view.eligible(job.queue.service, now)
-        others = any(a.state is not None and a.state.incarnation not in task.avoid for a in willing)
+    def _avoided_incarnations(self, job: JobState, task: TaskState, now: float) -> frozenset[str]:
+        """Endpoint incarnations that a task avoids; none when no others serve its service."""
+        eligible = self._ctx.view.eligible(job.queue.service, now)
+        others = any(
+            a.state is not None and a.state.incarnation not in task.avoid for a in eligible
+        )
         return frozenset(task.avoid) if others else frozenset()
 
     def _assign(self, process: str, tasks: list[LeasedTask]) -> None:
         agent = self._ctx.view.get_or_add(process)
-        agent.assigned += 1
+        agent.last_assigned_number += 1
         self._ctx.metrics.count("runs_assigned", len(tasks))
         claims = [] if agent.state is None else self._ctx.claims(agent.state.service)
-        agent.told = signature(claims)
-        agent.echoed()
+        agent.sent_signature = signature(claims)
+        agent.mark_echoed()
         tasks, payloads = self._with_payloads(process, tasks)
-        msg = Assign(agent.newest_load, agent.assigned, tasks, claims, payloads)
+        msg = Assign(agent.newest_load, agent.last_assigned_number, tasks, claims, payloads)
         sent = self._ctx.links.send(process, msg)
         if sent:
-            size = sum(map(len, payloads)) + len(tasks) * TASK_BYTES
+            size = sum(map(len, payloads)) + len(tasks) * TASK_OVERHEAD_BYTES
             self._ctx.window.sent(process, msg.number, size, self._ctx.clock.now())
         else:
             for task in tasks:
-                self._ends.take(process, task.name, task.run, RunOutcome.NOT_STARTED)
+                self._completions.record_end(process, task.name, task.run, RunOutcome.NOT_STARTED)
 
     def _with_payloads(
         self, process: str, tasks: list[LeasedTask]
     ) -> tuple[list[LeasedTask], list[bytes]]:
-        """The tasks with the numbers of their payloads, and each job's payload once."""
-        out = self._ctx.out[process]
+        """Return the tasks with the numbers of their payloads, and each job's payload once."""
+        assigned_runs = self._ctx.assigned_runs[process]
         numbers: dict[str, int] = {}
         numbered = []
         payloads: list[bytes] = []
         for task in tasks:
-            job = out[task.name, task.run]
+            job = assigned_runs[task.name, task.run]
             job_id = job.spec.job_id
             if job_id not in numbers:
                 numbers[job_id] = len(payloads)
@@ -210,28 +213,27 @@
             numbered.append(task._replace(payload=numbers[job_id]))
         return numbered, payloads
 
-    def _tell_claims(self, now: float) -> None:
-        """Claim room of all agents when runs of another urgency begin to wait."""
-        if not self._ctx.backlog or now - self._claims_told_at < CLAIM_AGAIN_S:
+    def _send_claims(self, now: float) -> None:
+        """Send claims to all agents when tasks of another urgency class start to wait."""
+        if not self._ctx.backlog or now - self._claims_sent_at < CLAIM_INTERVAL_S:
             return
-        self._claims_told_at = now
+        self._claims_sent_at = now
         for service in self._ctx.backlog.services():
-            wanted = signature(self._ctx.claims(service))
+            current = signature(self._ctx.claims(service))
             for agent in self._ctx.view.serving(service, now):
-                if agent.told != wanted:
+                if agent.sent_signature != current:
                     self._ctx.echo(agent)
 
-    def _give_back(self) -> None:
-        """Give back room that was granted to what waited, and is of no use to what still waits.
+    def _return_unused(self) -> None:
+        """Return granted resources that no waiting task fits into.
 
-        Kept until the grants lapsed, it stood empty for 40 ms each time, 357 times in 2,762 starts
-        at 1.9 times the usual load (``bench.leased_load``, seed 0).
+        Kept until the grants expire, they would be idle while other entries wait for them.
         """
         for agent in self._ctx.view.agents.values():
-            if agent.told and agent.free.cpu > 0 and not self._is_of_use(agent):
+            if agent.sent_signature and agent.free.cpu > 0 and not self._is_useful(agent):
                 agent.set_offered(NO_RESOURCES)
                 self._ctx.echo(agent, gives_back=True)
 
-    def _is_of_use(self, agent: AgentView) -> bool:
+    def _is_useful(self, agent: AgentView) -> bool:
         claims = [] if agent.state is None else self._ctx.claims(agent.state.service)
         return any(claim.least_cpu <= agent.free.cpu for claim in claims)
