--- a/src/gentianmux/coordinator.py
+++ b/src/gentianmux/coordinator.py
@@ -38,30 +38,30 @@
 
     Parameters
     ----------
-    board : Board
+    ctx : Board
         The blackboard; this puts itself there as ``coordinator``.
     """
 
-    def __init__(self, board: Board) -> None:
-        board.coordinator = self
+    def __init__(self, ctx: Board) -> None:
+        ctx.coordinator = self
         self.jobs: dict[str, Job] = {}
-        self._repeats = RetryBudget(board.cfg.hedge_percent)
+        self._repeats = RetryBudget(ctx.cfg.hedge_percent)
         self.trails: dict[str, Job] = {}
-        self._board = board
+        self._board = ctx
         self._lost_since: dict[str, float] = {}
 
     # Admission
 
     def on_submit(self, msg: Submit, waiter: Waiter) -> None:
         """Rule on a submission: admit, join, answer from the ledger, ask for traces, refuse."""
-        board = self._board
-        shard = board.shard_of(msg.key)
-        refusal = board.keeper.refusal(shard)
+        ctx = self._board
+        shard = ctx.shard_of(msg.key)
+        refusal = ctx.keeper.refusal(shard)
         if refusal is not None:
             self._refuse(msg.key, refusal, waiter)
             return
-        ledger = board.keeper.owned[shard].ledger
-        ruling = ledger.rule(msg.key, msg.digest, msg.submitted_ms, board.now_ms())
+        ledger = ctx.keeper.owned[shard].ledger
+        ruling = ledger.rule(msg.key, msg.digest, msg.submitted_ms, ctx.now_ms())
         self.apply_ruling(ruling, msg, waiter)
 
     def apply_ruling(self, ruling: Ruling, msg: Submit, waiter: Waiter) -> None:
@@ -92,13 +92,13 @@
         self._finish_if_done(job)
 
     def _begin(self, msg: Submit, waiter: Waiter, specs: list[TaskSpec], attempt: int) -> Job:
-        board = self._board
-        shard = board.shard_of(msg.key)
-        row = board.fleet.shards[shard]
-        board.keeper.owned[shard].ledger.admit(msg.key, msg.digest, msg.submitted_ms)
-        job = Job(msg, shard, row.epoch, specs, board.now(), attempt)
+        ctx = self._board
+        shard = ctx.shard_of(msg.key)
+        row = ctx.fleet.shards[shard]
+        ctx.keeper.owned[shard].ledger.admit(msg.key, msg.digest, msg.submitted_ms)
+        job = Job(msg, shard, row.epoch, specs, ctx.now(), attempt)
         self._repeats.first_try()
-        job.note(board.now(), f"admitted by {board.process} under epoch {row.epoch}")
+        job.note(ctx.now(), f"admitted by {ctx.process} under epoch {row.epoch}")
         self.jobs[msg.key] = job
         self._keep_trail(job)
         if msg.wait:
--- a/src/gentianmux/executor.py
+++ b/src/gentianmux/executor.py
@@ -49,21 +49,21 @@
 
     Parameters
     ----------
-    board : Board
+    ctx : Board
         The blackboard; this puts itself there as ``executor``.
     """
 
-    def __init__(self, board: Board) -> None:
-        board.executor = self
-        self.records = StartRecords(board.cfg.keep_s * 1000)
+    def __init__(self, ctx: Board) -> None:
+        ctx.executor = self
+        self.records = StartRecords(ctx.cfg.keep_s * 1000)
         self.running: dict[str, tuple[JobRecord, TaskRecord]] = {}
         self._records_held_by = ""
         self._asked_records = float("-inf")
         self._flushing: set[str] = set()
         self._farewells: set[str] = set()
         self._asked_farewell = float("-inf")
-        self._board = board
-        self._endpoint = EndpointClient(board.cfg)
+        self._board = ctx
+        self._endpoint = EndpointClient(ctx.cfg)
         self._queue = FairQueue[tuple[JobRecord, TaskRecord] | Reservation](self._weight)
         self._offers: dict[int, str] = {}
         self._held: Counter[str] = Counter()
@@ -76,8 +76,8 @@
 
     def on_batch(self, batch: StartBatch, sender: str) -> None:
         """Take in a job's share of tasks."""
-        board = self._board
-        offer = self.records.offer(batch, sender, board.now(), board.now_ms())
+        ctx = self._board
+        offer = self.records.offer(batch, sender, ctx.now(), ctx.now_ms())
         if offer.refused:
             self._send(sender, batch.key, batch.epoch, offer.refused)
         if offer.job is None:
@@ -122,15 +122,15 @@
         A frame that is still on its way here is thereby answered before this process ends, so
         its tasks are known not to have run.
         """
-        board = self._board
-        others = {each.process for each in board.members.alive("agent")}
+        ctx = self._board
+        others = {each.process for each in ctx.members.alive("agent")}
         known = {job.coordinator for job in self.records.jobs.values()}
-        others |= {process for process in known if board.members.is_alive(process)}
-        left = others - self._farewells - {board.process}
-        if board.now() - self._asked_farewell > FAREWELL_AGAIN_S:
-            self._asked_farewell = board.now()
+        others |= {process for process in known if ctx.members.is_alive(process)}
+        left = others - self._farewells - {ctx.process}
+        if ctx.now() - self._asked_farewell > FAREWELL_AGAIN_S:
+            self._asked_farewell = ctx.now()
             for process in sorted(left):
-                board.peers.send(process, Farewell(board.process))
+                ctx.peers.send(process, Farewell(ctx.process))
         return not left
 
     def on_farewell_reply(self, msg: FarewellReply) -> None:
--- a/src/gentianmux/gossip.py
+++ b/src/gentianmux/gossip.py
@@ -21,15 +21,15 @@
 
     Parameters
     ----------
-    board : Board
+    ctx : Board
         The blackboard.
     """
 
-    def __init__(self, board: Board) -> None:
-        self._board = board
-        ip, _, port = board.cfg.peer_address.partition(":")
+    def __init__(self, ctx: Board) -> None:
+        self._board = ctx
+        ip, _, port = ctx.cfg.peer_address.partition(":")
         self._server = DatagramServer((ip, int(port)), self._take)
-        self._key = board.cfg.peer_key.encode()
+        self._key = ctx.cfg.peer_key.encode()
         self._ticks = 0
 
     def start(self) -> None:
--- a/src/gentianmux/leased/admitting.py
+++ b/src/gentianmux/leased/admitting.py
@@ -23,7 +23,7 @@
 
     Parameters
     ----------
-    board : EntryBoard
+    ctx : EntryBoard
         The jobs and the agents.
 
     Attributes
@@ -32,9 +32,9 @@
         The decisions of each service.
     """
 
-    def __init__(self, board: EntryBoard) -> None:
+    def __init__(self, ctx: EntryBoard) -> None:
         self.admissions: defaultdict[str, Admission] = defaultdict(Admission)
-        self._board = board
+        self._board = ctx
         self._no_agent_since: dict[str, float] = {}
 
     def decide(self, now: float) -> None:
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -22,7 +22,7 @@
     Withdraw,
 )
 from ..metrics import Metrics
-from .agent_board import AgentBoard
+from .agent_context import AgentContext
 from .chain import REPORT_S
 from .config_feed import ConfigFeed
 from .config_handing import ConfigHanding
@@ -91,28 +91,28 @@
         metrics: Metrics,
         clock: Clock,
     ) -> None:
-        board = AgentBoard(cfg, driver, links, feed, metrics, clock)
-        self._board = board
+        ctx = AgentContext(cfg, driver, links, feed, metrics, clock)
+        self._board = ctx
         self._handing = ConfigHanding(feed, links, clock)
         self._sharing = EvacuationSharing(feed.evacuations, links, self._on_evacuations)
         self._idle_since: float | None = None
         self.on_endpoint: Callable[[EndpointReport | None], None] = lambda report: None
-        self._stops = RunStops(board)
-        self._starts = RunStarts(board, self._stops)
-        self._watch = RunWatch(board, self._stops)
-        board.tracker = EndpointTracker(
-            cfg, driver, board.table, feed, metrics, TrackerHooks(self._on_turn, self._on_news)
+        self._stops = RunStops(ctx)
+        self._starts = RunStarts(ctx, self._stops)
+        self._watch = RunWatch(ctx, self._stops)
+        ctx.tracker = EndpointTracker(
+            cfg, driver, ctx.table, feed, metrics, TrackerHooks(self._on_turn, self._on_news)
         )
         hooks = LookHooks(
             self._stops.stop_unechoed,
-            partial(self._follow, board.tracker.detach),
-            partial(self._follow, board.tracker.started_again),
+            partial(self._follow, ctx.tracker.detach),
+            partial(self._follow, ctx.tracker.started_again),
             self._on_looked,
             self._on_silence,
         )
-        board.looks = EndpointLooks(driver, board.table, metrics, clock, board.lease_s, hooks)
-        board.reports = EntryReports(links, clock, self._load, board.has_runs_of)
-        self._chain = board.reports.chain
+        ctx.looks = EndpointLooks(driver, ctx.table, metrics, clock, ctx.lease_s, hooks)
+        ctx.reports = EntryReports(links, clock, self._load, ctx.has_runs_of)
+        self._chain = ctx.reports.chain
         links.on_open = self._on_open
         links.on_close = self._on_close
         links.on_message = self.on_message
--- a/src/gentianmux/leased/agent_board.py
+++ b/src/gentianmux/leased/agent_context.py
@@ -17,7 +17,7 @@
 from .settings import LeasedSettings, lease_s
 
 
-class AgentBoard:
+class AgentContext:
     """Read and written by all controllers of an agent.
 
     Parameters
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -32,7 +32,7 @@
 
     Parameters
     ----------
-    board : EntryBoard
+    ctx : EntryBoard
         The jobs and the agents.
     ends : RunEnds
         Takes back what could not be sent.
@@ -45,9 +45,9 @@
     """
 
     def __init__(
-        self, board: EntryBoard, ends: RunEnds, admissions: defaultdict[str, Admission]
+        self, ctx: EntryBoard, ends: RunEnds, admissions: defaultdict[str, Admission]
     ) -> None:
-        self._board = board
+        self._board = ctx
         self._ends = ends
         self._admissions = admissions
         self._planned = False
--- a/src/gentianmux/leased/run_ends.py
+++ b/src/gentianmux/leased/run_ends.py
@@ -17,7 +17,7 @@
 
     Parameters
     ----------
-    board : EntryBoard
+    ctx : EntryBoard
         The jobs and where their runs are.
 
     Attributes
@@ -26,9 +26,9 @@
         When the present connection of each agent's process was opened.
     """
 
-    def __init__(self, board: EntryBoard) -> None:
+    def __init__(self, ctx: EntryBoard) -> None:
         self.opened_at: dict[str, float] = {}
-        self._board = board
+        self._board = ctx
 
     def compare(self, msg: Holding, agent: str) -> None:
         """Compare what an agent holds with what it was assigned, after a connection has opened.
--- a/src/gentianmux/leased/run_starts.py
+++ b/src/gentianmux/leased/run_starts.py
@@ -3,7 +3,7 @@
 from loguru import logger
 
 from ..messages import LeasedTask
-from .agent_board import AgentBoard, job_of
+from .agent_context import AgentContext, job_of
 from .model import How, StartVerdict
 from .room import Room
 from .run_stops import RunStops
@@ -30,7 +30,7 @@
 
     Parameters
     ----------
-    board : AgentBoard
+    ctx : AgentContext
         The endpoint and its runs.
     stops : RunStops
         Stops an earlier run of a task.
@@ -45,9 +45,9 @@
     ``starts.begin(task, payload, "e1.5")`` gives how a run was refused, None when it begins.
     """
 
-    def __init__(self, board: AgentBoard, stops: RunStops) -> None:
+    def __init__(self, ctx: AgentContext, stops: RunStops) -> None:
         self.replacing: set[RunKey] = set()
-        self._board = board
+        self._board = ctx
         self._stops = stops
         self._withdrawn = WithdrawnRuns()
 
--- a/src/gentianmux/leased/run_stops.py
+++ b/src/gentianmux/leased/run_stops.py
@@ -2,7 +2,7 @@
 
 from loguru import logger
 
-from .agent_board import AgentBoard
+from .agent_context import AgentContext
 from .model import How
 from .run_table import RunKey
 
@@ -12,7 +12,7 @@
 
     Parameters
     ----------
-    board : AgentBoard
+    ctx : AgentContext
         The endpoint and its runs.
 
     Examples
@@ -20,8 +20,8 @@
     ``stops.stop(key, How.STOPPED, "withdrawn")``, and ``stops.stop_due()`` once all are named.
     """
 
-    def __init__(self, board: AgentBoard) -> None:
-        self._board = board
+    def __init__(self, ctx: AgentContext) -> None:
+        self._board = ctx
 
     def stop(self, key: RunKey, why: How, reason: str) -> None:
         """Have a run stopped; it is gone only once a look has shown that."""
--- a/src/gentianmux/leased/run_watch.py
+++ b/src/gentianmux/leased/run_watch.py
@@ -1,6 +1,6 @@
 """Watches how the runs at an agent's endpoint fare, and stops those that will not end well."""
 
-from .agent_board import AgentBoard
+from .agent_context import AgentContext
 from .model import How
 from .progress import SLOW_FACTOR
 from .run_stops import RunStops
@@ -18,7 +18,7 @@
 
     Parameters
     ----------
-    board : AgentBoard
+    ctx : AgentContext
         The endpoint and its runs.
     stops : RunStops
         Stops what will not end well here.
@@ -28,8 +28,8 @@
     ``watch.watch_progress()`` after each look.
     """
 
-    def __init__(self, board: AgentBoard, stops: RunStops) -> None:
-        self._board = board
+    def __init__(self, ctx: AgentContext, stops: RunStops) -> None:
+        self._board = ctx
         self._stops = stops
 
     def watch_progress(self) -> None:
--- a/src/gentianmux/log_watch.py
+++ b/src/gentianmux/log_watch.py
@@ -21,16 +21,16 @@
 
     Parameters
     ----------
-    board : Board
+    ctx : Board
         The blackboard; this puts itself there as ``watch``.
     """
 
-    def __init__(self, board: Board) -> None:
-        board.watch = self
-        self._board = board
+    def __init__(self, ctx: Board) -> None:
+        ctx.watch = self
+        self._board = ctx
         self.followers = {
-            config_state.STREAM: Follower(board.log, config_state.STREAM, board.config),
-            fleet_state.STREAM: Follower(board.log, fleet_state.STREAM, board.fleet),
+            config_state.STREAM: Follower(ctx.log, config_state.STREAM, ctx.config),
+            fleet_state.STREAM: Follower(ctx.log, fleet_state.STREAM, ctx.fleet),
         }
         self._announced = float("-inf")
         self._was_down = False
@@ -61,14 +61,14 @@
         return True
 
     def _after_reading(self, fresh: int) -> None:
-        board = self._board
+        ctx = self._board
         config, fleet = self.followers.values()
-        board.members.versions = Versions(config.next_offset - 1, fleet.next_offset - 1)
-        board.members.learn(board.fleet.processes.values(), board.now())
-        if fresh and board.is_agent:
-            board.keeper.on_fleet()
-        if fresh and board.me.role != "agent":
-            board.dispatcher.on_fleet()
+        ctx.members.versions = Versions(config.next_offset - 1, fleet.next_offset - 1)
+        ctx.members.learn(ctx.fleet.processes.values(), ctx.now())
+        if fresh and ctx.is_agent:
+            ctx.keeper.on_fleet()
+        if fresh and ctx.me.role != "agent":
+            ctx.dispatcher.on_fleet()
 
     # Peers
 
@@ -115,12 +115,12 @@
     # Records of this process
 
     def _announce(self) -> None:
-        board = self._board
-        joined = board.process in board.fleet.processes
-        if joined or board.draining or board.now() - self._announced < ANNOUNCE_AGAIN_S:
+        ctx = self._board
+        joined = ctx.process in ctx.fleet.processes
+        if joined or ctx.draining or ctx.now() - self._announced < ANNOUNCE_AGAIN_S:
             return
-        self._announced = board.now()
-        board.clock.soon(self.append, fleet_state.STREAM, to_json(board.me))
+        self._announced = ctx.now()
+        ctx.clock.soon(self.append, fleet_state.STREAM, to_json(ctx.me))
 
     def append(self, stream: str, data: str) -> bool:
         """Append to a stream; false when it is not known whether that took effect."""
--- a/src/gentianmux/peers.py
+++ b/src/gentianmux/peers.py
@@ -28,7 +28,7 @@
 
     Parameters
     ----------
-    board : Board
+    ctx : Board
         The blackboard; this puts itself there as ``peers``.
     handle : callable
         Called with each message, the board and the sending process; must not block.
@@ -37,18 +37,18 @@
 
     Examples
     --------
-    ``board.peers.send("w1.1764690000000", msg)`` queues the message and returns at once.
+    ``ctx.peers.send("w1.1764690000000", msg)`` queues the message and returns at once.
     """
 
-    def __init__(self, board: Board, handle: Handler, on_lost: Callable[[str, Conn], None]) -> None:
-        board.peers = self
-        self._board = board
+    def __init__(self, ctx: Board, handle: Handler, on_lost: Callable[[str, Conn], None]) -> None:
+        ctx.peers = self
+        self._board = ctx
         self._handle = handle
         self._on_lost = on_lost
-        self._key = board.cfg.peer_key.encode()
+        self._key = ctx.cfg.peer_key.encode()
         self._conns: dict[str, Conn] = {}
         self._open: set[Conn] = set()
-        ip, _, port = board.cfg.peer_address.partition(":")
+        ip, _, port = ctx.cfg.peer_address.partition(":")
         self._server = StreamServer((ip, int(port)), self._serve)
 
     def start(self) -> None:
--- a/src/gentianmux/placement.py
+++ b/src/gentianmux/placement.py
@@ -29,19 +29,19 @@
 
     Parameters
     ----------
-    board : Board
+    ctx : Board
         The blackboard; this puts itself there as ``placement``.
     """
 
-    def __init__(self, board: Board) -> None:
-        board.placement = self
+    def __init__(self, ctx: Board) -> None:
+        ctx.placement = self
         self.loads: dict[str, AgentLoad] = defaultdict(AgentLoad)
         self.backlog: dict[str, Job] = {}
         self.leaving: set[str] = set()
         self.health: dict[tuple[str, str], AgentHealth] = defaultdict(AgentHealth)
         self._pools: dict[str, list[Join]] = {}
         self._pools_at = -2
-        self._board = board
+        self._board = ctx
         self._placing = False
 
     def refusal(self, service: str, member: str, specs: list[TaskSpec]) -> ResultCode | None:
--- a/src/gentianmux/shard_keeper.py
+++ b/src/gentianmux/shard_keeper.py
@@ -53,26 +53,26 @@
 
     Parameters
     ----------
-    board : Board
+    ctx : Board
         The blackboard; this puts itself there as ``keeper``.
     """
 
-    def __init__(self, board: Board) -> None:
-        board.keeper = self
+    def __init__(self, ctx: Board) -> None:
+        ctx.keeper = self
         self.owned: dict[int, OwnedShard] = {}
         self.heir_of: dict[int, tuple[Shard, HeirLease]] = {}
-        self.traces = TraceCollector(board)
-        self._board = board
-        self._times = LeaseTimes(board.cfg.lease_ms / 1000)
-        cfg = board.cfg
+        self.traces = TraceCollector(ctx)
+        self._board = ctx
+        self._times = LeaseTimes(ctx.cfg.lease_ms / 1000)
+        cfg = ctx.cfg
         self._bounds = LedgerBounds(cfg.keep_s * 1000, cfg.skew_ms, cfg.ledger_kb * 1024)
-        self.moves = ShardMoves(board, self)
+        self.moves = ShardMoves(ctx, self)
         self._taking: dict[int, float] = {}
         self._claimed: dict[int, tuple[int, float]] = {}
         self._revokes: dict[str, list[str]] = defaultdict(list)
         self._early: dict[str, LeaseRequest] = {}
         self._ownerless: list[int] = []
-        self._started = board.now()
+        self._started = ctx.now()
 
     # What others ask
 
@@ -288,21 +288,21 @@
     # Claims and balance
 
     def _claim_ownerless(self) -> None:
-        board = self._board
-        if board.draining or board.fleet.is_gone(board.process):
+        ctx = self._board
+        if ctx.draining or ctx.fleet.is_gone(ctx.process):
             return
-        now = board.now()
+        now = ctx.now()
         changes = [
-            ShardChange(number, row.base, self.heir_for(number, board.process))
-            for number, row in ((n, board.fleet.shards[n]) for n in self._ownerless)
-            if board.fleet.is_gone(row.owner)
+            ShardChange(number, row.base, self.heir_for(number, ctx.process))
+            for number, row in ((n, ctx.fleet.shards[n]) for n in self._ownerless)
+            if ctx.fleet.is_gone(row.owner)
             and not self._claimed_lately(number, row, now)
-            and self.best(number, self.live_agents()) == board.process
+            and self.best(number, self.live_agents()) == ctx.process
         ]
         for each in changes:
             self._claimed[each.shard] = (each.base, now)
         if changes:
-            self.append(Claim(board.process, board.now_ms(), changes))
+            self.append(Claim(ctx.process, ctx.now_ms(), changes))
 
     def _claimed_lately(self, number: int, row: Shard, now: float) -> bool:
         base, at = self._claimed.get(number, (row.base - 1, 0.0))
@@ -341,11 +341,11 @@
 
     def live_agents(self) -> list[str]:
         """Agents that the log names and that are thought alive."""
-        board = self._board
+        ctx = self._board
         return [
             join.process
-            for join in board.fleet.processes.values()
-            if join.role != "entry" and board.members.is_alive(join.process)
+            for join in ctx.fleet.processes.values()
+            if join.role != "entry" and ctx.members.is_alive(join.process)
         ]
 
     def best(self, number: int, agents: Iterable[str]) -> str:
--- a/src/gentianmux/shard_moves.py
+++ b/src/gentianmux/shard_moves.py
@@ -32,14 +32,14 @@
 
     Parameters
     ----------
-    board : Board
+    ctx : Board
         The blackboard.
     keeper : ShardKeeper
         The shards that this agent owns.
     """
 
-    def __init__(self, board: Board, keeper: "ShardKeeper") -> None:
-        self._board = board
+    def __init__(self, ctx: Board, keeper: "ShardKeeper") -> None:
+        self._board = ctx
         self._keeper = keeper
         self._incoming: dict[int, Incoming] = {}
 
--- a/src/gentianmux/traces.py
+++ b/src/gentianmux/traces.py
@@ -37,12 +37,12 @@
 
     Parameters
     ----------
-    board : Board
+    ctx : Board
         The blackboard.
     """
 
-    def __init__(self, board: Board) -> None:
-        self._board = board
+    def __init__(self, ctx: Board) -> None:
+        self._board = ctx
         self._gathering: dict[int, dict[str, list[_Parked]]] = {}
         self._questions: dict[int, _Question] = {}
         self._waiting: dict[str, list[_Parked]] = {}
@@ -68,20 +68,20 @@
         self._gathering[shard][msg.key] = line
 
     def _send(self, shard: int) -> None:
-        board = self._board
+        ctx = self._board
         lines = self._gathering.pop(shard)
         agents = sorted(
-            join.process for join in board.fleet.processes.values() if join.role != "entry"
+            join.process for join in ctx.fleet.processes.values() if join.role != "entry"
         )
-        question = _Question(shard, board.fleet.shards[shard].epoch, agents)
+        question = _Question(shard, ctx.fleet.shards[shard].epoch, agents)
         question.parked = lines
         self._next += 1
         number = self._next
         self._questions[number] = question
         query = TraceQuery(number, shard, question.epoch, list(lines))
         for agent in agents:
-            board.peers.send(agent, query)
-        board.clock.later(WAIT_S, self._rule, number)
+            ctx.peers.send(agent, query)
+        ctx.clock.later(WAIT_S, self._rule, number)
 
     def on_reply(self, reply: TraceReply) -> None:
         """Take in one agent's answer."""
@@ -107,9 +107,9 @@
                 self._board.coordinator.on_submit(each.msg, each.waiter)
 
     def _rule_one(self, question: _Question, key: str, parked: _Parked) -> None:
-        board = self._board
-        row = board.fleet.shards[question.shard]
-        refusal = board.keeper.refusal(question.shard)
+        ctx = self._board
+        row = ctx.fleet.shards[question.shard]
+        refusal = ctx.keeper.refusal(question.shard)
         if refusal is None and row.epoch != question.epoch:
             refusal = ResultCode.NOT_OWNER
         whole = self._is_whole(question, row, parked.msg)
@@ -118,11 +118,11 @@
             refusal = ResultCode.OUTCOME_UNKNOWN
         if refusal is not None:
             ruling = Ruling(Verdict.REFUSE, refusal)
-            board.coordinator.apply_ruling(ruling, parked.msg, parked.waiter)
+            ctx.coordinator.apply_ruling(ruling, parked.msg, parked.waiter)
         elif traces:
-            board.coordinator.resume(parked.msg, parked.waiter, traces, whole)
+            ctx.coordinator.resume(parked.msg, parked.waiter, traces, whole)
         else:
-            board.coordinator.apply_ruling(Ruling(Verdict.ADMIT), parked.msg, parked.waiter)
+            ctx.coordinator.apply_ruling(Ruling(Verdict.ADMIT), parked.msg, parked.waiter)
 
     def _is_whole(self, question: _Question, row: Shard, msg: Submit) -> bool:
         """Whether no trace means that nothing started: all could answer, and none forgot."""
--- a/src/gentianmux/witness.py
+++ b/src/gentianmux/witness.py
@@ -22,13 +22,13 @@
 
     Parameters
     ----------
-    board : Board
+    ctx : Board
         The blackboard; this puts itself there as ``witness``.
     """
 
-    def __init__(self, board: Board) -> None:
-        board.witness = self
-        self._board = board
+    def __init__(self, ctx: Board) -> None:
+        ctx.witness = self
+        self._board = ctx
         self._evicted: dict[str, float] = {}
 
     def on_change(self, update: MemberUpdate) -> None:
@@ -38,14 +38,14 @@
 
     def on_refused(self, process: str) -> None:
         """Append that a process has ended: its heirs at once, chosen witnesses a moment later."""
-        board = self._board
-        if process not in board.fleet.processes:
+        ctx = self._board
+        if process not in ctx.fleet.processes:
             return
-        if board.is_agent and any(row.owner == process for row, _ in board.keeper.heir_of.values()):
-            board.keeper.on_ended(process)
+        if ctx.is_agent and any(row.owner == process for row, _ in ctx.keeper.heir_of.values()):
+            ctx.keeper.on_ended(process)
             self._evict(process)
         elif self._is_chosen(process):
-            board.clock.later(LATER_S, self._evict, process)
+            ctx.clock.later(LATER_S, self._evict, process)
 
     def _evict(self, process: str) -> None:
         now = self._board.now()
