--- a/bench/leased_capacity.py
+++ b/bench/leased_capacity.py
@@ -11,7 +11,7 @@
 from gentianmux.leased.fleet_view import FleetView, Wish
 from gentianmux.leased.job_state import JobState
 from gentianmux.leased.model import JobSpec, QueueRules, StepSpec
-from gentianmux.leased.room import Room
+from gentianmux.leased.resources import Room
 from gentianmux.messages import AgentLoad, EndpointState
 
 RESULT = ROOT / "bench" / "results" / "leased_capacity.json"
--- a/bench/leased_endpoint.py
+++ b/bench/leased_endpoint.py
@@ -15,7 +15,7 @@
     NoAnswer,
     StartVerdict,
 )
-from gentianmux.leased.room import NO_ROOM, Room
+from gentianmux.leased.resources import NO_ROOM, Room
 
 if TYPE_CHECKING:
     from bench.leased_world import Machine, World
--- a/bench/leased_load.py
+++ b/bench/leased_load.py
@@ -24,7 +24,7 @@
 from bench.processes import ROOT
 from bench.scenario import USUAL, Kind, Power, Scenario
 from gentianmux.leased.job_state import USEFUL_FOR, Outcome
-from gentianmux.leased.room import Room
+from gentianmux.leased.resources import Room
 
 RESULT = ROOT / "bench" / "results" / "leased_load.json"
 
--- a/bench/leased_speed.py
+++ b/bench/leased_speed.py
@@ -32,7 +32,7 @@
     RequestLimits,
     StepSpec,
 )
-from gentianmux.leased.room import Room
+from gentianmux.leased.resources import Room
 from gentianmux.memory_log import MemoryKeyedLog
 from gentianmux.messages import (
     PROTOCOL_VERSION,
@@ -128,7 +128,7 @@
             state = EndpointState(f"i-{number}", "s", "fd", 16000, 65536, 0, ["a"], True)
             self.take(name, state)
             self.report(name, 16000)
-        while len(self.entry._board.backlog) < backlog:
+        while len(self.entry._ctx.backlog) < backlog:
             self.submit()
 
     def take(self, name: str, msg: Message) -> None:
--- a/bench/leased_world.py
+++ b/bench/leased_world.py
@@ -30,7 +30,7 @@
     StepSpec,
     node_of,
 )
-from gentianmux.leased.room import Room
+from gentianmux.leased.resources import Room
 from gentianmux.leased.settings import LeasedSettings, lease_s
 from gentianmux.leased.ticket import Ticket
 from gentianmux.memory_log import MemoryKeyedLog
--- a/src/gentianmux/dispatcher.py
+++ b/src/gentianmux/dispatcher.py
@@ -53,7 +53,7 @@
     def __init__(self, ctx: Board) -> None:
         ctx.dispatcher = self
         self.inflight = 0
-        self._board = ctx
+        self._ctx = ctx
         self._pending: dict[int, _Pending] = {}
         self._next = 0
 
@@ -83,7 +83,7 @@
 
     def _ask(self, msg: Question, wait_s: float, may_run: bool) -> Reply:
         """Ask owner after owner until one answers, time is up, or none can be found."""
-        ctx = self._board
+        ctx = self._ctx
         began = ctx.now()
         unsure = False
         while True:
@@ -103,7 +103,7 @@
 
     def _ask_once(self, msg: Question, wait_s: float) -> "_Asked":
         """Ask the present owner; no answer when there is none, it is lost, or time is up."""
-        ctx = self._board
+        ctx = self._ctx
         shard = ctx.shard_of(msg.key)
         owner = ctx.fleet.shards[shard].owner
         if not owner or ctx.address_of(owner) is None:
@@ -125,14 +125,14 @@
         """Hand an answer to the one that asked; a late one is dropped."""
         pending = self._pending.get(msg.request)
         if pending is None:
-            self._board.metrics.count("wasted", label="late_answer")
+            self._ctx.metrics.count("wasted", label="late_answer")
             return
         pending.fut.set(msg)
 
     def on_fleet(self) -> None:
         """Wake those who wait for a process that no longer owns their shard."""
         for pending in list(self._pending.values()):
-            if self._board.fleet.shards[pending.shard].owner != pending.owner:
+            if self._ctx.fleet.shards[pending.shard].owner != pending.owner:
                 pending.fut.set(None)
 
     def on_lost(self, process: str, opened: bool) -> None:
--- a/src/gentianmux/leased/agent_context.py
+++ b/src/gentianmux/leased/agent_context.py
@@ -12,7 +12,7 @@
 from .leaving import NO_BOUND_MS, longest_ms
 from .links import Links
 from .model import EndpointDriver, EndpointReport, How
-from .room import NO_ROOM, Room
+from .resources import NO_ROOM, Room
 from .run_table import Finished, RunTable
 from .settings import LeasedSettings, lease_s
 
--- a/src/gentianmux/leased/backlog.py
+++ b/src/gentianmux/leased/backlog.py
@@ -7,7 +7,7 @@
 
 from .admission import urgency
 from .job_state import JobState, Waiting
-from .room import NO_ROOM, Room
+from .resources import NO_ROOM, Room
 
 Kind = tuple[bool, bool, int]
 """A kind of urgency: served late, not begun, priority."""
--- a/src/gentianmux/leased/candidates.py
+++ b/src/gentianmux/leased/candidates.py
@@ -4,7 +4,7 @@
 from heapq import heapify, heappop, heappush
 from typing import TYPE_CHECKING
 
-from .room import Room
+from .resources import Room
 
 if TYPE_CHECKING:
     from .fleet_view import AgentView, FleetView, Wish
--- a/src/gentianmux/leased/directory.py
+++ b/src/gentianmux/leased/directory.py
@@ -15,7 +15,7 @@
 from ..typed_json import flag, number, read_object, table, text, texts, whole
 from .config_feed import AGAIN_S, WATCH_S
 from .model import EndpointReport
-from .room import Room
+from .resources import Room
 
 TOPIC = "gentianmux-members"
 """Topic of the announcements, one key an instance."""
--- a/src/gentianmux/leased/endpoint_word.py
+++ b/src/gentianmux/leased/endpoint_word.py
@@ -24,7 +24,7 @@
 
     Examples
     --------
-    >>> from gentianmux.leased.room import Room
+    >>> from gentianmux.leased.resources import Room
     >>> first = EndpointReport("i-1", "", "s", "fd", Room(1, 1), (), False, 0.0, 9, born=100)
     >>> judge(first._replace(sequence=8), first).value
     'overtaken'
--- a/src/gentianmux/leased/entry_reports.py
+++ b/src/gentianmux/leased/entry_reports.py
@@ -9,7 +9,7 @@
 from .grants import GRANT_S, Grants
 from .links import Links
 from .model import How
-from .room import NO_ROOM, Room
+from .resources import NO_ROOM, Room
 
 GATHER_S = 0.002
 """Seconds for which changes are gathered into one report to all: about one network round trip."""
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -10,7 +10,7 @@
 from .claiming import Signature
 from .leaving import NO_BOUND_MS
 from .model import node_of
-from .room import NO_ROOM, Room
+from .resources import NO_ROOM, Room
 
 SILENT_S = CHAIN_S - 0.05
 """Seconds without a load report after which an agent gets nothing new: what is assigned later comes
--- a/src/gentianmux/leased/grants.py
+++ b/src/gentianmux/leased/grants.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from ..messages import Claim
-from .room import NO_ROOM, Room
+from .resources import NO_ROOM, Room
 
 GRANT_S = 0.04
 """Seconds for which granted room is kept for its entry: some ten round trips between failure
--- a/src/gentianmux/leased/health.py
+++ b/src/gentianmux/leased/health.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from .room import Room
+from .resources import Room
 
 FAILED_IN_A_ROW = 4
 """Runs of different jobs; one task in 500 fails by its own fault, so four in a row are the
--- a/src/gentianmux/leased/job_state.py
+++ b/src/gentianmux/leased/job_state.py
@@ -7,7 +7,7 @@
 
 from .model import How, JobSpec, QueueRules, StepSpec
 from .payloads import pack
-from .room import NO_ROOM, Room
+from .resources import NO_ROOM, Room
 
 FIRST_RUN = 1
 """Runs of a task are numbered from here."""
--- a/src/gentianmux/leased/model.py
+++ b/src/gentianmux/leased/model.py
@@ -3,7 +3,7 @@
 from enum import Enum, IntEnum
 from typing import NamedTuple, Protocol
 
-from .room import Room
+from .resources import Room
 
 
 def node_of(process: str) -> str:
--- a/src/gentianmux/leased/run_table.py
+++ b/src/gentianmux/leased/run_table.py
@@ -7,7 +7,7 @@
 
 from .model import HoldReply, How
 from .progress import Progress
-from .room import Room, RoomAccount
+from .resources import Room, RoomAccount
 
 RunKey = tuple[str, int]
 """A task's name and the number of its run."""
--- a/src/gentianmux/platform/callers.py
+++ b/src/gentianmux/platform/callers.py
@@ -16,7 +16,7 @@
 from ..leased.entry import Entry
 from ..leased.job_state import Outcome
 from ..leased.model import JobSpec, QueueRules, RequestLimits, StepSpec
-from ..leased.room import Room
+from ..leased.resources import Room
 from ..metrics import Metrics
 from ..settings import Settings
 
--- a/src/gentianmux/platform/endpoint.py
+++ b/src/gentianmux/platform/endpoint.py
@@ -18,7 +18,7 @@
     NoAnswer,
     StartVerdict,
 )
-from ..leased.room import Room
+from ..leased.resources import Room
 from ..typed_json import number, read_object, table, text, texts, whole
 from .http_call import HttpCaller, HttpReply
 
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -17,7 +17,7 @@
 from gentianmux.leased.fleet_view import AgentView, FleetView, Wish
 from gentianmux.leased.job_state import JobState, Prospect
 from gentianmux.leased.model import How, JobSpec, QueueRules, StepSpec
-from gentianmux.leased.room import Room
+from gentianmux.leased.resources import Room
 from gentianmux.messages import AgentLoad, EndpointState
 
 QUEUE = QueueRules("q", "h", "/q/", "s", 5000, 60, 0, 3, 1.6)
--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -18,7 +18,7 @@
 from gentianmux.leased.caller_watch import wait_for_verdict
 from gentianmux.leased.job_state import JobState, Outcome
 from gentianmux.leased.model import JobSpec, QueueRules, StepSpec
-from gentianmux.leased.room import Room
+from gentianmux.leased.resources import Room
 from gentianmux.leased.ticket import Ticket, Verdict
 from gentianmux.settings import Settings
 
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -42,7 +42,7 @@
     StepSpec,
 )
 from gentianmux.leased.payloads import pack
-from gentianmux.leased.room import Room
+from gentianmux.leased.resources import Room
 from gentianmux.leased.run_table import RunTable
 from gentianmux.messages import Assign, LeasedTask
 from gentianmux.platform.endpoint import PlatformEndpoint, read_farewell, read_report
@@ -188,7 +188,7 @@
     world.run(0.2)
     world.machines["w0"].endpoint.capacity = Room(4000, 999, 0)
     later = world.report_of(world.machines["w0"])._replace(service="other", sequence=1)
-    agent._board.feed.current = None
+    agent._ctx.feed.current = None
     agent.on_report(later)
     assert agent.report == later
     assert agent.table.room.capacity == Room(4000, 999, 0)
@@ -261,7 +261,7 @@
     else:
         world.replace_endpoint("w0")
     world.machines["w0"].sequence = 1
-    is_present = agent._board.driver.is_present
+    is_present = agent._ctx.driver.is_present
 
     def look_meanwhile(report: EndpointReport) -> bool | None:
         for _ in range(3):
@@ -269,7 +269,7 @@
         return is_present(report)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(agent._board.driver, "is_present", look_meanwhile)
+        patch.setattr(agent._ctx.driver, "is_present", look_meanwhile)
         agent.on_report(world.report_of(world.machines["w0"]))
     assert agent.report is not None
     assert agent.report.born == world.machines["w0"].endpoint.born
@@ -301,7 +301,7 @@
     world.restart_endpoint("w0", down_s=0.05)
     world.run(0.2)
     agent = agent_of(world)
-    agent._board.driver._connected_to = machine.endpoint
+    agent._ctx.driver._connected_to = machine.endpoint
     job = world.submit("e0", tasks=8, run_s=0.5)
     while not machine.endpoint.active:
         world.run(0.001)
--- a/tests/test_foreign_records.py
+++ b/tests/test_foreign_records.py
@@ -15,7 +15,7 @@
 from gentianmux.leased.directory import TOPIC, Announcement, Directory, decode_announcement
 from gentianmux.leased.job_state import Outcome
 from gentianmux.leased.model import EndpointReport
-from gentianmux.leased.room import Room
+from gentianmux.leased.resources import Room
 from gentianmux.memory_log import Changes, Newest
 from gentianmux.metrics import Metrics
 from gentianmux.platform.config import CONFIG_SOURCE, decode_config
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -15,7 +15,7 @@
 from gentianmux.leased.grants import GRANT_S, LATE_RESERVE, PASS_OVER_S, Grants, split
 from gentianmux.leased.job_state import JobState, Prospect
 from gentianmux.leased.model import JobSpec, QueueRules, StepSpec
-from gentianmux.leased.room import NO_ROOM, Room
+from gentianmux.leased.resources import NO_ROOM, Room
 from gentianmux.messages import Claim
 
 ENTRIES = ["e1", "e2", "e3"]
@@ -243,7 +243,7 @@
     counted: Counter[str] = Counter()
     for machine in world.machines.values():
         assert machine.agent is not None
-        counted.update(machine.agent._board.metrics.snapshot())  # type: ignore[arg-type]
+        counted.update(machine.agent._ctx.metrics.snapshot())  # type: ignore[arg-type]
     assert counted["runs_refused.no_room"] < 0.05 * counted["runs_started"]
     assert world.breaches == []
     assert world.false_refusals() == []
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -25,7 +25,7 @@
 from gentianmux.leased.job_state import JobState, Phase, Prospect
 from gentianmux.leased.model import How, JobSpec, QueueRules, StepSpec
 from gentianmux.leased.progress import STALL_S, Progress
-from gentianmux.leased.room import Room, RoomAccount
+from gentianmux.leased.resources import Room, RoomAccount
 from gentianmux.leased.settings import LeasedSettings, lease_s
 from gentianmux.messages import AgentLoad, EndpointState
 
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -14,7 +14,7 @@
 from gentianmux.codes import ResultCode
 from gentianmux.errors import GentianmuxError, LogError
 from gentianmux.leased.model import EndpointGone, How, NoAnswer, StartVerdict
-from gentianmux.leased.room import Room
+from gentianmux.leased.resources import Room
 from gentianmux.platform.callers import read_job
 from gentianmux.platform.config import decode_config
 from gentianmux.platform.endpoint import PlatformEndpoint, _read_look, read_report
