--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -40,7 +40,7 @@
     How,
 )
 from .payloads import unpack
-from .resources import Room
+from .resources import Resources
 from .run_starts import RunStarts
 from .run_stops import RunStops
 from .run_table import Finished, RunTable
@@ -177,7 +177,9 @@
 
     def _on_news(self, report: EndpointReport | None) -> None:
         if report is not None:
-            self._ctx.reports.grants.late_reserve = Room(int(report.capacity.cpu * LATE_RESERVE))
+            self._ctx.reports.grants.late_reserve = Resources(
+                int(report.capacity.cpu * LATE_RESERVE)
+            )
         self.on_endpoint(report)
 
     @property
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -12,7 +12,7 @@
 from .fleet_view import AgentView, Wish
 from .job_state import TASK_BYTES, JobState, TaskState
 from .model import How
-from .resources import NO_ROOM, Room
+from .resources import NO_ROOM, Resources
 from .run_ends import RunEnds
 
 CLAIM_AGAIN_S = 0.02
@@ -82,7 +82,7 @@
     def _place_service(self, service: str, shares: dict[str, list[LeasedTask]], now: float) -> None:
         view = self._ctx.view
         candidates = Candidates(view, view.willing(service, now))
-        too_large: Room | None = None
+        too_large: Resources | None = None
         planned = 0
         for job in self._ctx.backlog.of(service) if len(candidates) else ():
             if planned >= self._ctx.window.left():
--- a/src/gentianmux/leased/run_ends.py
+++ b/src/gentianmux/leased/run_ends.py
@@ -5,7 +5,7 @@
 from ..messages import Holding, RunRef, Withdraw
 from .entry_board import EntryBoard
 from .job_state import Outcome
-from .model import How, node_of
+from .model import How, instance_of
 from .ticket import Verdict
 
 REFUSED_PAUSE_S = 0.05
@@ -70,7 +70,7 @@
     def lose_earlier_lives(self, agent: str) -> None:
         """End what earlier processes of an agent's instance held: it has made sure of that."""
         for process in list(self._ctx.view.agents):
-            if process != agent and node_of(process) == node_of(agent):
+            if process != agent and instance_of(process) == instance_of(agent):
                 self.lose(process, "a later process of the agent is at work")
 
     def lose(self, process: str, reason: str) -> None:
--- a/src/gentianmux/leased/run_starts.py
+++ b/src/gentianmux/leased/run_starts.py
@@ -5,7 +5,7 @@
 from ..messages import LeasedTask
 from .agent_context import AgentContext, job_of
 from .model import How, StartVerdict
-from .resources import Room
+from .resources import Resources
 from .run_stops import RunStops
 from .run_table import RunKey
 from .withdrawn import WithdrawnRuns
@@ -67,11 +67,11 @@
             self._stops.stop_due()
             until = self._ctx.clock.now() + REPLACE_S
             args = (task, payload, entry, until)
-            self._ctx.clock.later(REPLACE_CHECK_S, self._begin_when_gone, *args)
+            self._ctx.clock.call_later(REPLACE_CHECK_S, self._begin_when_gone, *args)
             self.replacing.add(key)
             return None
         now = self._ctx.clock.now()
-        need = Room(task.cpu, task.mem_mb, task.gpu)
+        need = Resources(task.cpu, task.mem_mb, task.gpu)
         if not self._ctx.offered().fits(need):
             return How.NO_ROOM
         if not self._ctx.table.begin(key, entry, need, task.estimate_ms, now):
@@ -97,7 +97,7 @@
         gone = not self._ctx.table.runs_of_task(task.name)
         if not gone and now < until:
             args = (task, payload, entry, until)
-            self._ctx.clock.later(REPLACE_CHECK_S, self._begin_when_gone, *args)
+            self._ctx.clock.call_later(REPLACE_CHECK_S, self._begin_when_gone, *args)
             return
         self.replacing.discard((task.name, task.run))
         fresh = self._ctx.reports.chain.holds(entry, now)
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -9,7 +9,7 @@
 from gentianmux.leased.job_state import Outcome
 from gentianmux.leased.model import EndedRow, EndpointReport, HoldReply, How
 from gentianmux.leased.payloads import pack
-from gentianmux.leased.resources import Room
+from gentianmux.leased.resources import Resources
 from gentianmux.messages import Assign, EndedRuns, LeasedTask, Message, RunRef, Withdraw
 
 
@@ -208,7 +208,7 @@
     world = ready_world(agents=1)
     world.submit("e0", tasks=9, run_s=2.0)
     world.run(0.2)
-    world.replace_endpoint("w0", Room(4000, 1024, 0))
+    world.replace_endpoint("w0", Resources(4000, 1024, 0))
     jobs = [world.submit("e0", tasks=4, run_s=0.2) for _ in range(3)]
     world.run(5.0)
     assert all(outcome(job) is not None for job in jobs)
@@ -284,7 +284,7 @@
     elif what == 10:
         endpoint.speed = rng.choice([0.0, 0.2, 1.0, 1.0])
     elif what == 11:
-        sizes = [ENDPOINT_ROOM, Room(8000, 2048, 0)]
+        sizes = [ENDPOINT_ROOM, Resources(8000, 2048, 0)]
         late = world.report_of(machine)
         world.replace_endpoint(machine.name, rng.choice(sizes))
         world.at(rng.uniform(0.1, 4.0), "", _report_late, world, machine.name, late)
