--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -21,8 +21,8 @@
 from .admitting import Admitting
 from .chain import ECHO_GAP_S
 from .config_feed import ConfigFeed
-from .config_handing import ConfigHanding
-from .entry_board import EntryContext
+from .config_transfer import ConfigHanding
+from .entry_context import EntryContext
 from .evacuation_sharing import EvacuationSharing
 from .evacuations import Evacuations
 from .fleet_view import FleetView
