--- a/bench/leased_world.py
+++ b/bench/leased_world.py
@@ -17,9 +17,9 @@
 from gentianmux.clock import Clock
 from gentianmux.codec import encode
 from gentianmux.leased.agent import UPKEEP_S, Agent
-from gentianmux.leased.chain import REPORT_S
 from gentianmux.leased.config_feed import ConfigFeed, ConfigSource
 from gentianmux.leased.entry import LOSS_CHECK_S, STEP_S, Entry
+from gentianmux.leased.entry_leases import REPORT_S
 from gentianmux.leased.fleet_view import FleetView
 from gentianmux.leased.model import (
     EndpointReport,
@@ -33,9 +33,9 @@
 from gentianmux.leased.resources import Resources
 from gentianmux.leased.settings import LeasedSettings, lease_s
 from gentianmux.leased.ticket import Ticket
-from gentianmux.memory_log import MemoryKeyedLog
 from gentianmux.messages import PROTOCOL_VERSION, Hello, Message
 from gentianmux.metrics import Metrics
+from gentianmux.platform_log import MemoryKeyedLog
 from gentianmux.settings import Settings
 
 QUEUE = QueueConfig("q", "h.example", "/q/", "s", 5000, 60, 0, 3, 1.6)
