--- a/bench/world.py
+++ b/bench/world.py
@@ -112,7 +112,7 @@
     """What a process thinks of others: right, but some time late."""
 
     isolated = False
-    heard: ClassVar[dict[str, Any]] = {}
+    peer_versions: ClassVar[dict[str, Any]] = {}
 
     def __init__(self, world: "World", process: str) -> None:
         self._world = world
--- a/src/gentianmux/stream_reader.py
+++ b/src/gentianmux/stream_reader.py
@@ -73,11 +73,13 @@
     # Peers
 
     def _has_source(self) -> bool:
-        return any(self._ctx.membership.is_alive(each) for each in self._ctx.membership.heard)
+        return any(
+            self._ctx.membership.is_alive(each) for each in self._ctx.membership.peer_versions
+        )
 
     def pull(self) -> None:
         """Ask a peer that is ahead for what this process has not read."""
-        heard = self._ctx.membership.heard
+        heard = self._ctx.membership.peer_versions
         for number, (stream, follower) in enumerate(self.followers.items()):
             ahead = [
                 process
