--- a/bench/world.py
+++ b/bench/world.py
@@ -139,7 +139,7 @@
     def get(self, process: str) -> MemberUpdate | None:
         return None
 
-    def learn(self, joins: Any, now: float) -> None:
+    def add_joined(self, joins: Any, now: float) -> None:
         return
 
     def leave(self) -> None:
--- a/src/gentianmux/leased/agent_context.py
+++ b/src/gentianmux/leased/agent_context.py
@@ -14,7 +14,7 @@
 from .resources import NO_RESOURCES, Resources
 from .run_table import Finished, RunTable
 from .settings import LeasedSettings, lease_s
-from .shutdown import NO_BOUND_MS, longest_ms
+from .shutdown import UNBOUNDED_ESTIMATE_MS, longest_ms
 
 
 class AgentContext:
@@ -94,7 +94,7 @@
     def longest_ms(self) -> int:
         """The longest estimate of a run that may still begin here, in ms."""
         if not self.leaving:
-            return NO_BOUND_MS
+            return UNBOUNDED_ESTIMATE_MS
         return longest_ms(self.leaves_at - self.clock.now())
 
     def offered(self) -> Resources:
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -30,7 +30,7 @@
 from .job_state import JobOutcome, JobState, longest_chain_s
 from .links import Links
 from .model import JobSpec, QueueConfig, RunOutcome
-from .placing import Placing
+from .placing import Placer
 from .resources import NO_RESOURCES
 from .run_completions import RunCompletions
 from .shutdown import finishes_before_shutdown
@@ -89,7 +89,7 @@
         )
         self._ends = RunCompletions(self._ctx)
         self._admitting = Admitting(self._ctx)
-        self._placer = Placing(self._ctx, self._ends, self._admitting.admissions)
+        self._placer = Placer(self._ctx, self._ends, self._admitting.admissions)
         self.leaving = False
         self._shutdown_at = float("inf")
         self._idle_since: float | None = None
--- a/src/gentianmux/membership.py
+++ b/src/gentianmux/membership.py
@@ -167,7 +167,7 @@
             if each.state == ProcessState.ALIVE and (not role or each.role in (role, "standalone"))
         ]
 
-    def learn(self, joins: Iterable[Join], now: float) -> None:
+    def add_joined(self, joins: Iterable[Join], now: float) -> None:
         """Take in processes that the log names and gossip has not."""
         for join in joins:
             if join.process != self.me.process and join.process not in self._members:
--- a/src/gentianmux/stream_reader.py
+++ b/src/gentianmux/stream_reader.py
@@ -64,7 +64,7 @@
         ctx = self._ctx
         config, fleet = self.followers.values()
         ctx.membership.versions = Versions(config.next_offset - 1, fleet.next_offset - 1)
-        ctx.membership.learn(ctx.fleet.processes.values(), ctx.now())
+        ctx.membership.add_joined(ctx.fleet.processes.values(), ctx.now())
         if fresh and ctx.is_agent:
             ctx.shard_manager.on_fleet()
         if fresh and ctx.identity.role != "agent":
