--- a/src/gentianmux/conn.py
+++ b/src/gentianmux/conn.py
@@ -85,7 +85,7 @@
             self._plain.close()
 
 
-def receive(sock: Any) -> Iterator[bytes]:
+def iter_received(sock: Any) -> Iterator[bytes]:
     """Yield what arrives until the peer closes."""
     while True:
         data = sock.recv(RECEIVE_BYTES)
