--- a/src/gentianmux/executor.py
+++ b/src/gentianmux/executor.py
@@ -77,15 +77,15 @@
     def on_batch(self, batch: StartBatch, sender: str) -> None:
         """Take in a job's share of tasks."""
         ctx = self._ctx
-        offer = self.records.offer(batch, sender, ctx.now(), ctx.now_ms())
+        offer = self.records.accept_batch(batch, sender, ctx.now(), ctx.now_ms())
         if offer.refused:
             self._send(sender, batch.key, batch.epoch, offer.refused)
         if offer.job is None:
             return
-        held = batch.how == StartHow.OFFERED and batch.offer in self._offers
+        held = batch.how == StartHow.OFFERED and batch.accept_batch in self._offers
         for record in offer.queued:
             self._admit(offer.job, record, batch.how, held)
-        self._end_offer(batch.offer)
+        self._end_offer(batch.accept_batch)
         self._pump()
         # What was handed back is wanted elsewhere, whatever else of the job runs on here.
         self._flush(offer.job, at_once=True)
