--- a/src/gentianmux/executor.py
+++ b/src/gentianmux/executor.py
@@ -294,9 +294,9 @@
         return min(longest_s, max(0.001, (job.deadline_ms - self._ctx.now_ms()) / 1000))
 
     def _flush(self, job: JobRecord, at_once: bool = False) -> None:
-        if not job.unsent or (job.open and not job.eager and not at_once):
+        if not job.unsent or (job.open_count and not job.eager and not at_once):
             return
-        if job.open and not at_once:
+        if job.open_count and not at_once:
             self._flush_later(job)
             return
         results, job.unsent = job.unsent, []
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -156,7 +156,7 @@
         """Pass over a heartbeat that says nothing usable."""
         self._ctx.tracker.unreadable(endpoint, reason)
 
-    def on_left(self, endpoint: str, born: int = 0) -> None:
+    def on_shutdown_notice(self, endpoint: str, born: int = 0) -> None:
         """Take in an endpoint's word that it ends; ``born`` is 0 where its start is not told."""
         self._follow(self._ctx.tracker.farewell, endpoint, born)
 
--- a/src/gentianmux/platform/heartbeats.py
+++ b/src/gentianmux/platform/heartbeats.py
@@ -41,7 +41,7 @@
         try:
             body = read_body(environ, self._cfg)
             if call == "deregister":
-                self._agent.on_left(endpoint, decode_shutdown_notice(body))
+                self._agent.on_shutdown_notice(endpoint, decode_shutdown_notice(body))
                 return "200 OK"
             report = decode_heartbeat(endpoint, read_object(body), self._endpoint_address)
         except (GentianmuxError, ValueError) as exc:
