--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -33,7 +33,7 @@
     TaskResult,
 )
 from gentianmux.platform_log import Record
-from gentianmux.routing import choose
+from gentianmux.routing import choose_agents
 from gentianmux.start_records import StartRecords
 
 RESULT = ROOT / "bench" / "results" / "capacity.json"
@@ -170,7 +170,7 @@
     placement = node.ctx.placement
 
     def once() -> None:
-        chosen = choose(20, placement.candidates("s", 20), node.ctx.rng)
+        chosen = choose_agents(20, placement.candidates("s", 20), node.ctx.rng)
         assert len(chosen) == 20
 
     return micros(once, 30, 20)
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -152,7 +152,7 @@
         if self.report is report and report.draining:
             self._watch.move_what_cannot_end(report.drain_remaining_s)
 
-    def on_unreadable(self, endpoint: str, reason: str) -> None:
+    def on_unreadable_heartbeat(self, endpoint: str, reason: str) -> None:
         """Pass over a heartbeat that says nothing usable."""
         self._ctx.tracker.unreadable(endpoint, reason)
 
--- a/src/gentianmux/platform/heartbeats.py
+++ b/src/gentianmux/platform/heartbeats.py
@@ -45,7 +45,7 @@
                 return "200 OK"
             report = decode_heartbeat(endpoint, read_object(body), self._endpoint_address)
         except (GentianmuxError, ValueError) as exc:
-            self._agent.on_unreadable(endpoint, str(exc))
+            self._agent.on_unreadable_heartbeat(endpoint, str(exc))
             return "400 Bad Request"
         self._agent.on_report(report)
         return "200 OK"
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -488,7 +488,7 @@
         driver = PlatformEndpoint(address, 0.05)
         driver.attach(report_of(earlier))
         driver.hold(0, 0.0, 0.5, 1.0)
-        driver._looks = PlatformEndpoint(other, 0.05)._looks
+        driver._poll_client = PlatformEndpoint(other, 0.05)._poll_client
         assert driver.is_present(report_of(later)) is True
         assert driver.is_present(report_of(earlier)) is False
         assert later.fence == 0
