--- a/bench/world.py
+++ b/bench/world.py
@@ -22,7 +22,7 @@
 from gentianmux.ids import NO_TIME, shard_of
 from gentianmux.membership import ProcessState
 from gentianmux.messages import Answer, MemberUpdate, Message, Submit, Task
-from gentianmux.node import announce
+from gentianmux.node import make_join
 from gentianmux.node_context import NodeContext
 from gentianmux.placement import Placement
 from gentianmux.platform_log import MemoryLog, Record
@@ -153,7 +153,7 @@
         cfg = world.cfg._replace(
             name=name, peer_address=f"10.0.0.{int(name[1:]) + 1}:1", failure_domain=f"fd{name[1:]}"
         )
-        me = announce(cfg, incarnation)
+        me = make_join(cfg, incarnation)
         self.name = name
         self.process = me.process
         self.ctx = NodeContext(cfg, me, FakeLog(world, name), FakeClock(world, me.process))
