--- a/bench/world.py
+++ b/bench/world.py
@@ -13,7 +13,7 @@
 from gentianmux.codes import ResultCode
 from gentianmux.coordinator import Coordinator
 from gentianmux.dispatcher import TRY_AGAIN
-from gentianmux.endpoint_client import Run
+from gentianmux.endpoint_client import TaskOutcome
 from gentianmux.errors import LogError
 from gentianmux.executor import Executor
 from gentianmux.fleet_state import FleetState
@@ -190,7 +190,7 @@
     def _launch(self, job: JobRecord, record: TaskRecord) -> None:
         world = self._world
         world.starts.append(Start(self.name, job.key, record.task.number, world.time))
-        run = Run(ResultCode.OK, record.task.payload)
+        run = TaskOutcome(ResultCode.OK, record.task.payload)
         run_s = world.run_time(self.name, record.task)
         world.at(run_s, self.process, self.ctx.executor.on_ended, job, record, run)
 
