--- a/src/gentianmux/executor.py
+++ b/src/gentianmux/executor.py
@@ -133,7 +133,7 @@
                 ctx.peers.send(process, Farewell(ctx.process))
         return not left
 
-    def on_farewell_reply(self, msg: FarewellReply) -> None:
+    def on_shutdown_notice_reply(self, msg: FarewellReply) -> None:
         """Note that a coordinator is done with this agent."""
         self._farewells.add(msg.process)
 
--- a/src/gentianmux/node.py
+++ b/src/gentianmux/node.py
@@ -129,7 +129,7 @@
                 logger.warning("gave up draining with work in flight")
                 return False
             if ctx.is_agent:
-                ctx.shard_manager.moves.release_all()
+                ctx.shard_manager.moves.move_all_away()
             gevent.sleep(DRAIN_STEP_S)
         self.stream_reader.leave(self._hand_over_records(until))
         return True
