--- a/src/gentianmux/node.py
+++ b/src/gentianmux/node.py
@@ -94,7 +94,7 @@
         if self.ctx.is_agent:
             ctx = self.ctx
             loops += [ctx.shard_manager.run_leases, ctx.coordinator.run_backlog]
-            loops += [ctx.executor.run_renewals]
+            loops += [ctx.executor.run_lease_renewals]
         self._loops = [gevent.spawn(loop) for loop in loops]
         logger.info("started as {} on {}", self.ctx.identity.role, self.ctx.cfg.peer_address)
 
