--- a/src/gentianmux/config_state.py
+++ b/src/gentianmux/config_state.py
@@ -1,18 +1,18 @@
-"""The configuration as every process folds it from the log."""
+"""The configuration, derived from its stream in the same way by every process."""
 
 import json
 from typing import Any, NamedTuple, cast
 
 from .codes import ResultCode
-from .platform_log import Record, load_object
+from .platform_log import Record, parse_object
 from .rules import Fault, MemberItem, ServiceItem, WorkerItem, find_faults
 
 STREAM = "config"
-REMEMBERED_CHANGES = 1000
+MAX_RECENT_OUTCOMES = 1000
 
 
 class Change(NamedTuple):
-    """A change of configuration: what it sets and removes, and the version it was made on."""
+    """A change of configuration: items to set and remove, and the version it is based on."""
 
     change_id: str
     based_on: int
@@ -20,12 +20,12 @@
     remove: list[str]
 
     def to_json(self) -> str:
-        """The record's data."""
+        """Return the change as the data of a record."""
         return json.dumps({"type": "change", **self._asdict()}, sort_keys=True)
 
 
 class Outcome(NamedTuple):
-    """What became of a change, the same for every reader."""
+    """The outcome of a change, the same for every reader."""
 
     offset: int
     code: ResultCode
@@ -33,9 +33,9 @@
 
 
 class ConfigState:
-    """Items by name, the version in force, and the outcomes of recent changes.
+    """The configuration in force, and the outcomes of recent changes.
 
-    The version is the offset of the newest accepted change and never falls.
+    The version is the offset of the newest accepted change and never decreases.
 
     Examples
     --------
@@ -48,41 +48,41 @@
 
     def __init__(self) -> None:
         self.version = -1
-        self.folded = -1
+        self.applied_offset = -1
         self.items: dict[str, Any] = {}
         self.changed_at: dict[str, int] = {}
         self.outcomes: dict[str, Outcome] = {}
         self.member_by_hash: dict[str, str] = {}
 
     def apply(self, record: Record) -> None:
-        """Fold a change in, or reject it whole."""
-        self.folded = record.offset
+        """Apply a change, or reject all of it."""
+        self.applied_offset = record.offset
         change = _parse(record)
         if change is None or change.change_id in self.outcomes:
             return
-        outcome = self._judge(change, record.offset)
+        outcome = self._evaluate(change, record.offset)
         self.outcomes[change.change_id] = outcome
-        if len(self.outcomes) > REMEMBERED_CHANGES:
+        if len(self.outcomes) > MAX_RECENT_OUTCOMES:
             del self.outcomes[next(iter(self.outcomes))]
         if outcome.code is ResultCode.OK:
-            self._put_in_force(change, record.offset)
+            self._apply_change(change, record.offset)
 
-    def _judge(self, change: Change, offset: int) -> Outcome:
+    def _evaluate(self, change: Change, offset: int) -> Outcome:
         touched = [*change.set, *change.remove]
-        overtaken = [
+        conflicts = [
             Fault(key, f"was changed at {self.changed_at[key]}, after {change.based_on}")
             for key in touched
             if self.changed_at.get(key, -1) > change.based_on
         ]
-        if overtaken:
-            return Outcome(offset, ResultCode.CHANGE_CONFLICT, overtaken)
+        if conflicts:
+            return Outcome(offset, ResultCode.CHANGE_CONFLICT, conflicts)
         after = {**self.items, **change.set}
         for key in change.remove:
             after.pop(key, None)
         faults = list(find_faults(after, change.set, change.remove))
         return Outcome(offset, ResultCode.CHANGE_INVALID if faults else ResultCode.OK, faults)
 
-    def _put_in_force(self, change: Change, offset: int) -> None:
+    def _apply_change(self, change: Change, offset: int) -> None:
         self.items.update(change.set)
         for key in change.remove:
             self.items.pop(key, None)
@@ -101,27 +101,27 @@
         }
 
     def member(self, name: str) -> MemberItem | None:
-        """The rules of a member."""
+        """Return the item of a member, or None."""
         return cast(MemberItem | None, self.items.get(f"member/{name}"))
 
     def service(self, name: str) -> ServiceItem | None:
-        """The rules of a service."""
+        """Return the item of a service, or None."""
         return cast(ServiceItem | None, self.items.get(f"service/{name}"))
 
     def worker(self, name: str) -> WorkerItem | None:
-        """A worker of the inventory."""
+        """Return the item of a worker, or None."""
         return cast(WorkerItem | None, self.items.get(f"worker/{name}"))
 
     def names(self, kind: str) -> list[str]:
-        """Names of all items of a kind, such as ``worker``."""
+        """Return the names of all items of a kind, such as ``worker``."""
         prefix = f"{kind}/"
         return [key[len(prefix) :] for key in self.items if key.startswith(prefix)]
 
     def snapshot(self) -> str:
-        """The state as a snapshot record."""
+        """Return the state as the data of a snapshot record."""
         content = {
             "type": "snapshot",
-            "version": self.folded,
+            "version": self.applied_offset,
             "in_force": self.version,
             "items": self.items,
             "changed_at": self.changed_at,
@@ -129,22 +129,22 @@
         return json.dumps(content, sort_keys=True)
 
     def snapshot_version(self, record: Record) -> int | None:
-        """Version of a snapshot record; None for a change."""
-        content = load_object(record)
+        """Return the version of a snapshot record, or None for any other record."""
+        content = parse_object(record)
         return int(content["version"]) if content.get("type") == "snapshot" else None
 
     def restore(self, record: Record) -> None:
-        """Take a snapshot's state in place of this one."""
-        content = load_object(record)
+        """Replace this state by that of a snapshot record."""
+        content = parse_object(record)
         self.version = content["in_force"]
-        self.folded = content["version"]
+        self.applied_offset = content["version"]
         self.items = content["items"]
         self.changed_at = content["changed_at"]
         self._index_keys()
 
 
 def _parse(record: Record) -> Change | None:
-    content = load_object(record)
+    content = parse_object(record)
     if content.get("type") != "change":
         return None
     try:
--- a/src/gentianmux/fleet_records.py
+++ b/src/gentianmux/fleet_records.py
@@ -1,4 +1,4 @@
-"""The records of the fleet stream: who joins and leaves, and who owns which shard."""
+"""The records of the fleet stream: processes joining and leaving, and shard ownership."""
 
 import json
 from typing import Any, NamedTuple, get_type_hints
@@ -19,9 +19,9 @@
 
 
 class Leave(NamedTuple):
-    """A process says that it has stopped for good, after its last admission and grant.
+    """A process has stopped for good, after its last admission and grant.
 
-    ``records_to`` holds its start records from now on; empty when nobody does.
+    ``records_to`` names the process that holds its start records from now on, or is empty.
     """
 
     process: str
@@ -30,7 +30,7 @@
 
 
 class Evict(NamedTuple):
-    """A witness saw proof that a process has ended, such as its host refusing connections."""
+    """A witness confirmed that a process has ended, such as by a refused connection."""
 
     process: str
     witness: str
@@ -39,7 +39,7 @@
 
 
 class ShardChange(NamedTuple):
-    """One shard of a record: the offset of the shard's newest record, and the heir from now."""
+    """A change of one shard: the offset of its newest record, and its heir from now on."""
 
     shard: int
     base: int
@@ -47,7 +47,7 @@
 
 
 class Claim(NamedTuple):
-    """A process claims shards that have no owner, or whose owner is proved to have ended."""
+    """A process claims shards without an owner, or whose owner is confirmed to have ended."""
 
     by: str
     at_ms: int
@@ -55,7 +55,7 @@
 
 
 class TakeOver(NamedTuple):
-    """The heir takes shards over after the lease it granted has run out."""
+    """The heir takes shards over after the lease it granted has expired."""
 
     by: str
     at_ms: int
@@ -63,14 +63,14 @@
 
 
 class HeirChange(NamedTuple):
-    """The owner names other heirs; it stopped using the old heirs' grants before."""
+    """The owner names other heirs, after it stopped using the grants of the old ones."""
 
     by: str
     shards: list[ShardChange]
 
 
 class Handover(NamedTuple):
-    """The owner moves a shard, whose ledger the new owner already holds."""
+    """The owner moves a shard to a process that already holds its ledger."""
 
     by: str
     to: str
@@ -101,7 +101,7 @@
 
 
 def to_json(record: FleetRecord) -> str:
-    """Encode a record for the log."""
+    """Encode a record as JSON for the log."""
     return json.dumps({"type": _NAMES[type(record)], **_plain(record)}, sort_keys=True)
 
 
@@ -113,7 +113,7 @@
 
 
 def from_json(content: dict[str, Any]) -> FleetRecord | None:
-    """Decode a record; None when it is none of these."""
+    """Decode a record; return None when it is of another type or malformed."""
     cls = _TYPES.get(str(content.get("type")))
     if cls is None:
         return None
--- a/src/gentianmux/fleet_state.py
+++ b/src/gentianmux/fleet_state.py
@@ -1,4 +1,4 @@
-"""The fleet as every process folds it from the log: processes and the shard table."""
+"""The state of the fleet, derived from its stream: processes and the shard table."""
 
 import json
 from collections.abc import Callable
@@ -18,11 +18,11 @@
     TakeOver,
     from_json,
 )
-from .platform_log import Record, load_object
+from .platform_log import Record, parse_object
 
 STREAM = "fleet"
-NOBODY = ""
-REMEMBERED_DEPARTURES = 256
+NO_PROCESS = ""
+MAX_DEPARTURES = 256
 
 
 class Shard(NamedTuple):
@@ -30,33 +30,33 @@
 
     ``epoch`` is the offset of the record that made the owner; ``base`` that of the newest
     accepted record about the shard, which the next one must name. ``prior`` owned the shard
-    before, under ``prior_epoch``, and took its ledger with it; ``handed`` says that a planned
-    move brought the ledger here. Times are Unix ms.
+    before, under ``prior_epoch``, and its ledger was lost; ``handed_over`` is set when a
+    planned move brought the ledger along. Times are Unix ms.
     """
 
-    owner: str = NOBODY
-    heir: str = NOBODY
+    owner: str = NO_PROCESS
+    heir: str = NO_PROCESS
     epoch: int = -1
     base: int = -1
     since_ms: int = 0
-    prior: str = NOBODY
+    prior: str = NO_PROCESS
     prior_epoch: int = -1
     prior_since_ms: int = 0
-    handed: bool = False
+    handed_over: bool = False
 
-    def taken_by(self, owner: str, heir: str, offset: int, at_ms: int) -> "Shard":
-        """The row after an owner was replaced without handing its ledger over."""
+    def with_new_owner(self, owner: str, heir: str, offset: int, at_ms: int) -> "Shard":
+        """Return the row after the owner was replaced without a handover of its ledger."""
         prior = (self.owner, self.epoch, self.since_ms)
-        if self.owner == NOBODY:
+        if self.owner == NO_PROCESS:
             prior = (self.prior, self.prior_epoch, self.prior_since_ms)
         return Shard(owner, heir, offset, offset, at_ms, *prior)
 
 
 class FleetState:
-    """Processes that announced themselves, and the shard table.
+    """The processes that have joined, and the shard table.
 
-    A record about a shard counts only when it names the shard's newest record as its base and
-    comes from the one who may change it, so of a racing pair the earlier offset wins.
+    A record about a shard takes effect only if it names the shard's newest record as its base
+    and its author may change the shard, so of two concurrent records the earlier offset wins.
 
     Examples
     --------
@@ -74,23 +74,23 @@
         self.shards = [Shard() for _ in range(shard_count)]
 
     def apply(self, record: Record) -> None:
-        """Fold one record in."""
+        """Apply one record; a record that is not understood changes only the version."""
         self.version = record.offset
-        content = load_object(record)
+        content = parse_object(record)
         parsed = from_json(content)
         if parsed is not None:
             _apply(parsed, self, record.offset)
 
     def is_gone(self, process: str) -> bool:
-        """Whether a process is proved to have stopped, or never joined."""
+        """Return whether a process is confirmed to have stopped, or never joined."""
         return process not in self.processes
 
     def owned_by(self, process: str) -> list[int]:
-        """Shards that a process owns."""
+        """Return the shards owned by a process."""
         return [number for number, row in enumerate(self.shards) if row.owner == process]
 
     def snapshot(self) -> str:
-        """The state as a snapshot record."""
+        """Return the state as the data of a snapshot record."""
         content = {
             "type": "snapshot",
             "version": self.version,
@@ -103,13 +103,13 @@
         return json.dumps(content, sort_keys=True)
 
     def snapshot_version(self, record: Record) -> int | None:
-        """Version of a snapshot record; None for any other."""
-        content = load_object(record)
+        """Return the version of a snapshot record, or None for any other record."""
+        content = parse_object(record)
         return int(content["version"]) if content.get("type") == "snapshot" else None
 
     def restore(self, record: Record) -> None:
-        """Take a snapshot's state in place of this one."""
-        content = load_object(record)
+        """Replace this state by that of a snapshot record."""
+        content = parse_object(record)
         self.version = content["version"]
         self.departures = content["departures"]
         self.left = content["left"]
@@ -117,21 +117,21 @@
         self.processes = {row[0]: Join(*row) for row in content["processes"]}
         self.shards = [Shard(*row) for row in content["shards"]]
 
-    def depart(self, process: str, at_ms: int) -> None:
-        """Note that a process has stopped; its start records are gone with it."""
+    def record_departure(self, process: str, at_ms: int) -> None:
+        """Remove a process that stopped; its start records are lost."""
         joined = self.processes.pop(process, None)
         self.joined_at.pop(process, None)
         if joined is None or joined.role == "entry":
             return
         self.departures[process] = at_ms
-        if len(self.departures) > REMEMBERED_DEPARTURES:
+        if len(self.departures) > MAX_DEPARTURES:
             oldest = min(self.departures, key=self.departures.__getitem__)
             del self.departures[oldest]
 
-    def was_never_alone(self, row: Shard, service: str) -> bool:
-        """Whether the prior owner knew another agent for a service all the time it owned a shard.
+    def had_other_agent(self, row: Shard, service: str) -> bool:
+        """Return whether the prior owner always knew another agent for a service.
 
-        Such an owner starts no task of its own shard, so it takes no start with it.
+        Such an owner starts no tasks of its own shards, so none of their starts are lost with it.
         """
         return any(
             service in join.services and self.joined_at[join.process] < row.prior_epoch
@@ -139,21 +139,21 @@
             if join.process != row.prior
         )
 
-    def traces_lost_until(self, row: Shard, service: str) -> int:
-        """Unix time in ms up to which a departed agent may have taken starts of a shard along."""
+    def starts_lost_until_ms(self, row: Shard, service: str) -> int:
+        """Return the Unix time in ms up to which records of starts of a shard may be lost."""
         others = [at for process, at in self.departures.items() if process != row.prior]
         own = self.departures.get(row.prior, 0)
-        if self.was_never_alone(row, service):
+        if self.had_other_agent(row, service):
             own = row.prior_since_ms
         return max([own, *others])
 
-    def change(
+    def replace_row(
         self,
         each: ShardChange,
         allowed: Callable[[Shard], bool],
         after: Callable[[Shard], Shard],
     ) -> None:
-        """Put a new row in place when the change names the newest base and is allowed."""
+        """Replace a row if the change names the newest base and ``allowed`` accepts the row."""
         if not 0 <= each.shard < len(self.shards):
             return
         row = self.shards[each.shard]
@@ -175,7 +175,7 @@
         return
     for each in same_address:
         if each.process != record.process:
-            state.depart(each.process, record.incarnation)
+            state.record_departure(each.process, record.incarnation)
     state.processes[record.process] = record
     state.joined_at.setdefault(record.process, offset)
 
@@ -183,28 +183,28 @@
 @_apply.register
 def _(record: Leave, state: FleetState, offset: int) -> None:
     state.left[record.process] = record.at_ms
-    if len(state.left) > REMEMBERED_DEPARTURES:
+    if len(state.left) > MAX_DEPARTURES:
         del state.left[min(state.left, key=state.left.__getitem__)]
     if record.records_to in state.processes:
-        # Its starts can still be asked for, so nothing went with it.
+        # Another process holds its start records, so none are lost.
         state.processes.pop(record.process, None)
         state.joined_at.pop(record.process, None)
     else:
-        state.depart(record.process, record.at_ms)
+        state.record_departure(record.process, record.at_ms)
 
 
 @_apply.register
 def _(record: Evict, state: FleetState, offset: int) -> None:
-    state.depart(record.process, record.at_ms)
+    state.record_departure(record.process, record.at_ms)
 
 
 @_apply.register
 def _(record: Claim, state: FleetState, offset: int) -> None:
-    # Once the owner is proved to have ended nobody admits, so no lease has to run out.
+    # An owner confirmed to have ended admits nothing, so there is no lease to wait for.
     def ownerless(row: Shard) -> bool:
         return state.is_gone(row.owner) and not state.is_gone(record.by)
 
-    _take(record, state, offset, ownerless)
+    _change_owner(record, state, offset, ownerless)
 
 
 @_apply.register
@@ -212,26 +212,26 @@
     def from_heir(row: Shard) -> bool:
         return row.heir == record.by and not state.is_gone(record.by)
 
-    _take(record, state, offset, from_heir)
+    _change_owner(record, state, offset, from_heir)
 
 
-def _take(
+def _change_owner(
     record: Claim | TakeOver, state: FleetState, offset: int, allowed: Callable[[Shard], bool]
 ) -> None:
     for each in record.shards:
-        after = partial(_taken, record=record, heir=each.heir, offset=offset)
-        state.change(each, allowed, after)
+        after = partial(_with_new_owner, record=record, heir=each.heir, offset=offset)
+        state.replace_row(each, allowed, after)
 
 
-def _taken(row: Shard, record: Claim | TakeOver, heir: str, offset: int) -> Shard:
-    return row.taken_by(record.by, heir, offset, record.at_ms)
+def _with_new_owner(row: Shard, record: Claim | TakeOver, heir: str, offset: int) -> Shard:
+    return row.with_new_owner(record.by, heir, offset, record.at_ms)
 
 
 @_apply.register
 def _(record: HeirChange, state: FleetState, offset: int) -> None:
     for each in record.shards:
         after = partial(_with_heir, heir=each.heir, offset=offset)
-        state.change(each, lambda row: row.owner == record.by, after)
+        state.replace_row(each, lambda row: row.owner == record.by, after)
 
 
 def _with_heir(row: Shard, heir: str, offset: int) -> Shard:
@@ -244,22 +244,22 @@
         return row.owner == record.by and not state.is_gone(record.to)
 
     for each in record.shards:
-        after = partial(_handed, record=record, heir=each.heir, offset=offset)
-        state.change(each, to_live_process, after)
+        after = partial(_after_handover, record=record, heir=each.heir, offset=offset)
+        state.replace_row(each, to_live_process, after)
 
 
-def _handed(row: Shard, record: Handover, heir: str, offset: int) -> Shard:
-    # What is known of a crash before the move still holds; a receiver without the ledger sees
-    # by ``handed`` that it lacks one.
+def _after_handover(row: Shard, record: Handover, heir: str, offset: int) -> Shard:
+    # The prior owner stays as it is: what it lost is still lost. A receiver that has no ledger
+    # sees by ``handed_over`` that one existed.
     moved = row._replace(owner=record.to, heir=heir, epoch=offset, base=offset)
-    return moved._replace(since_ms=record.at_ms, handed=True)
+    return moved._replace(since_ms=record.at_ms, handed_over=True)
 
 
 @_apply.register
 def _(record: Release, state: FleetState, offset: int) -> None:
     for each in record.shards:
-        state.change(each, lambda row: True, partial(_released, offset=offset))
+        state.replace_row(each, lambda row: True, partial(_released, offset=offset))
 
 
 def _released(row: Shard, offset: int) -> Shard:
-    return row.taken_by(NOBODY, NOBODY, offset, 0)._replace(prior_epoch=-1)
+    return row.with_new_owner(NO_PROCESS, NO_PROCESS, offset, 0)._replace(prior_epoch=-1)
--- a/src/gentianmux/follower.py
+++ b/src/gentianmux/follower.py
@@ -1,4 +1,4 @@
-"""Follows one stream of the platform's log into a folded state."""
+"""Follows one stream of the platform's log and applies its records to a state."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -8,40 +8,40 @@
 from .errors import LogError
 from .platform_log import DEFAULT_READ_LIMIT, PlatformLog, Record
 
-REMEMBERED_RECORDS = 2000
+MAX_RECENT_RECORDS = 2000
 
 
-class Fold(Protocol):
-    """A state that records are folded into, the same way by every process."""
+class ReplicatedState(Protocol):
+    """A state that every process derives from the same records in the same way."""
 
     def apply(self, record: Record) -> None:
-        """Fold one record in; a record that is void changes nothing."""
+        """Apply one record; an invalid record has no effect."""
         ...
 
     def snapshot_version(self, record: Record) -> int | None:
-        """Version that a snapshot record stands for; None for any other record."""
+        """Return the version of a snapshot record, or None for any other record."""
         ...
 
     def restore(self, record: Record) -> None:
-        """Replace the whole state by a snapshot's."""
+        """Replace this state by that of a snapshot record."""
         ...
 
     def snapshot(self) -> str:
-        """The state as the data of a snapshot record."""
+        """Return the state as the data of a snapshot record."""
         ...
 
 
 class Follower:
-    """Reads a stream from its start, or from a snapshot where the start is gone.
+    """Reads a stream from its start, or from a snapshot when the start has been trimmed.
 
     Parameters
     ----------
     log : PlatformLog
-        Where the stream is.
+        The log that holds the stream.
     stream : str
-        Its name.
-    fold : Fold
-        The state to fold records into.
+        The name of the stream.
+    state : ReplicatedState
+        The state to apply records to.
 
     Examples
     --------
@@ -52,21 +52,21 @@
     0
     """
 
-    def __init__(self, log: PlatformLog, stream: str, fold: Fold) -> None:
+    def __init__(self, log: PlatformLog, stream: str, state: ReplicatedState) -> None:
         self.log = log
         self.stream = stream
-        self.fold = fold
+        self.state = state
         self.next_offset = 0
         self.snapshot_at = 0
-        self.recent: deque[Record] = deque(maxlen=REMEMBERED_RECORDS)
+        self.recent: deque[Record] = deque(maxlen=MAX_RECENT_RECORDS)
 
     def poll(self) -> int:
-        """Read to the end of the stream and return how many records were new.
+        """Read to the end of the stream and return the number of new records.
 
         Raises
         ------
         LogError
-            When the log does not answer; what was read before stands.
+            If the log does not answer; records read before that stay applied.
         """
         count = 0
         while True:
@@ -78,21 +78,21 @@
                 return count
 
     def _apply(self, record: Record) -> None:
-        self.fold.apply(record)
+        self.state.apply(record)
         self.next_offset = record.offset + 1
         self.recent.append(record)
-        if self.fold.snapshot_version(record) is not None:
+        if self.state.snapshot_version(record) is not None:
             self.snapshot_at = record.offset
 
     def records_after(self, version: int) -> list[Record] | None:
-        """Records beyond a version, for a peer; None when too many, or not at hand."""
+        """Return the records after a version, or None if they are too many or not in memory."""
         if not self.recent or self.recent[0].offset > version + 1:
             return None
         found = [record for record in self.recent if record.offset > version]
         return found if len(found) <= DEFAULT_READ_LIMIT else None
 
-    def take(self, records: list[Record]) -> int:
-        """Fold in records from a peer that follow on what was read; return how many."""
+    def apply_records(self, records: list[Record]) -> int:
+        """Apply a peer's records if they continue this stream; return how many were applied."""
         fresh = [record for record in records if record.offset >= self.next_offset]
         if not fresh or fresh[0].offset != self.next_offset:
             return 0
@@ -100,11 +100,11 @@
             self._apply(record)
         return len(fresh)
 
-    def take_snapshot(self, version: int, data: str) -> bool:
-        """Take a peer's state when it is ahead of this one."""
+    def install_snapshot(self, version: int, data: str) -> bool:
+        """Replace this state by a peer's if that is newer; return whether it was."""
         if version < self.next_offset:
             return False
-        self.fold.restore(Record(version, data))
+        self.state.restore(Record(version, data))
         self.next_offset = version + 1
         self.recent.clear()
         return True
@@ -115,16 +115,16 @@
         except LogError as exc:
             if exc.code is not ResultCode.LOG_TRIMMED:
                 raise
-        return self._skip_to_snapshot()
+        return self._restore_from_snapshot()
 
-    def _skip_to_snapshot(self) -> list[Record]:
-        """Start over from the first snapshot whose following records are all still kept."""
+    def _restore_from_snapshot(self) -> list[Record]:
+        """Restore the first snapshot whose following records are all still retained."""
         oldest = self.log.oldest(self.stream)
         kept = list(_read_all(self.log, self.stream, oldest))
         for record in kept:
-            version = self.fold.snapshot_version(record)
+            version = self.state.snapshot_version(record)
             if version is not None and version + 1 >= max(oldest, self.next_offset):
-                self.fold.restore(record)
+                self.state.restore(record)
                 self.next_offset = version + 1
                 return [each for each in kept if each.offset > version][:DEFAULT_READ_LIMIT]
         raise LogError(ResultCode.LOG_TRIMMED, f"no snapshot of {self.stream} is kept")
--- a/src/gentianmux/gossip.py
+++ b/src/gentianmux/gossip.py
@@ -1,4 +1,4 @@
-"""Carries membership datagrams over UDP."""
+"""Sends and receives membership datagrams over UDP."""
 
 from typing import Any
 
@@ -12,28 +12,28 @@
 from .messages import Gossip
 from .node_context import NodeContext
 
-MAX_DATAGRAM = 1400
-SEED_EVERY_TICKS = 4
+MAX_DATAGRAM_BYTES = 1400
+SEED_PROBE_INTERVAL_TICKS = 4
 
 
 class GossipServer:
-    """Sends and takes datagrams for the membership on the board.
+    """The UDP endpoint of a process's membership.
 
     Parameters
     ----------
     ctx : NodeContext
-        The blackboard.
+        The shared context of the process.
     """
 
     def __init__(self, ctx: NodeContext) -> None:
         self._ctx = ctx
         ip, _, port = ctx.cfg.peer_address.partition(":")
-        self._server = DatagramServer((ip, int(port)), self._take)
+        self._server = DatagramServer((ip, int(port)), self._on_datagram)
         self._key = ctx.cfg.peer_key.encode()
         self._ticks = 0
 
     def start(self) -> None:
-        """Begin to listen."""
+        """Start listening."""
         self._server.start()
 
     def stop(self) -> None:
@@ -41,27 +41,27 @@
         self._server.stop()
 
     def run(self) -> None:
-        """Probe one process a period, for as long as the process lives."""
+        """Run ``tick`` periodically until the process ends."""
         while True:
             gevent.sleep(self._ctx.cfg.probe_ms / 1000)
             self.tick()
 
     def tick(self) -> None:
-        """One period: probes, and now and then a greeting to the seeds."""
-        members = self._ctx.membership
-        self.send(members.tick(self._ctx.now()))
-        if self._ticks % SEED_EVERY_TICKS == 0:
-            known = {each.address for each in members.alive()}
-            strangers = [seed for seed in self._ctx.cfg.seeds if seed not in known]
-            self.send([members.greet(seed) for seed in strangers])
+        """Send the probes of one period and, every few periods, probe unknown seeds."""
+        membership = self._ctx.membership
+        self.send(membership.tick(self._ctx.now()))
+        if self._ticks % SEED_PROBE_INTERVAL_TICKS == 0:
+            known = {each.address for each in membership.alive()}
+            unknown_seeds = [seed for seed in self._ctx.cfg.seeds if seed not in known]
+            self.send([membership.probe_seed(seed) for seed in unknown_seeds])
         self._ticks += 1
 
     def send(self, outgoing: list[Outgoing]) -> None:
-        """Send datagrams; one that cannot be sent is as good as lost."""
+        """Send datagrams, shortened to the size limit; a send error counts as a lost datagram."""
         for each in outgoing:
             data = add_digest(encode(each.gossip), self._key)
-            while len(data) > MAX_DATAGRAM:
-                each = each._replace(gossip=_shorter(each.gossip))
+            while len(data) > MAX_DATAGRAM_BYTES:
+                each = each._replace(gossip=_without_last_update(each.gossip))
                 data = add_digest(encode(each.gossip), self._key)
             ip, _, port = each.address.partition(":")
             self._ctx.metrics.count("datagrams_out")
@@ -71,7 +71,7 @@
             except OSError:
                 self._ctx.metrics.count("wasted", label="datagram_unsent")
 
-    def _take(self, data: bytes, address: Any) -> None:
+    def _on_datagram(self, data: bytes, address: Any) -> None:
         try:
             msg = decode(verify_digest(data, self._key))
         except FrameError:
@@ -82,5 +82,5 @@
             self.send(self._ctx.membership.receive(msg, source, self._ctx.now()))
 
 
-def _shorter(gossip: Gossip) -> Gossip:
+def _without_last_update(gossip: Gossip) -> Gossip:
     return gossip._replace(updates=gossip.updates[:-1])
--- a/src/gentianmux/lease.py
+++ b/src/gentianmux/lease.py
@@ -1,28 +1,28 @@
-"""The lease of one shard, as its owner and its heir each see it."""
+"""The lease of one shard: the owner's right to admit and the heir's right to take over."""
 
 from typing import NamedTuple
 
-from .fleet_state import NOBODY, Shard
+from .fleet_state import NO_PROCESS, Shard
 
-DRIFT_DIVISOR = 20
+CLOCK_DRIFT_DIVISOR = 20
 
 
 class LeaseTimes(NamedTuple):
-    """Length of a lease in seconds; clocks may run apart by a twentieth of it."""
+    """Length of a lease in seconds, with an allowance for clock drift."""
 
     lease_s: float
 
     @property
     def drift_s(self) -> float:
-        """What each side adds or takes off for clocks that run at unlike speed."""
-        return self.lease_s / DRIFT_DIVISOR
+        """Seconds by which the owner shortens and the heir extends the lease."""
+        return self.lease_s / CLOCK_DRIFT_DIVISOR
 
 
 class OwnerLease:
-    """What an owner knows of its right to admit.
+    """The owner's side of a lease.
 
-    The lease counts from the time at which the renewal was *sent*, on the owner's monotonic
-    clock, and only under the shard's newest record.
+    The lease runs from the time at which the renewal request was *sent*, on the owner's
+    monotonic clock, and is valid only for the shard's newest record.
 
     Examples
     --------
@@ -43,29 +43,29 @@
         self._frozen_base: int | None = None
 
     def on_grant(self, base: int, sent: float) -> None:
-        """Note a grant by the heir for the record at ``base``."""
+        """Record the heir's grant for the record at ``base``."""
         if base > self._base:
             self._base, self._sent = base, sent
         elif base == self._base:
             self._sent = max(self._sent, sent)
 
     def freeze(self, base: int) -> None:
-        """Stop admitting under the record at ``base``; called before a change is appended."""
+        """Stop admitting under the record at ``base``; call this before appending a change."""
         self._frozen_base = base
 
-    def thaw(self) -> None:
-        """Admit again; only for a change that was never appended."""
+    def unfreeze(self) -> None:
+        """Resume admitting; valid only if the change was never appended."""
         self._frozen_base = None
 
     def is_frozen(self, row: Shard) -> bool:
-        """Whether a change that builds on this row may be on its way into the log."""
+        """Return whether a change based on this row may have been appended."""
         return self._frozen_base == row.base
 
     def is_valid(self, row: Shard, now: float) -> bool:
-        """Whether the owner may admit now."""
+        """Return whether the owner may admit at ``now``."""
         if row.owner != self._process or self.is_frozen(row):
             return False
-        if row.heir == NOBODY:
+        if row.heir == NO_PROCESS:
             return True
         return row.base == self._base and now < self._until()
 
@@ -74,7 +74,7 @@
 
 
 class HeirLease:
-    """What an heir has granted, and when it may take over.
+    """The heir's side of a lease: what it granted and when it may take over.
 
     Examples
     --------
@@ -90,27 +90,27 @@
         self._times = times
         self._process = process
         self._granted = since
-        self._leaving_base: int | None = None
+        self._take_over_base: int | None = None
 
     def grant(self, row: Shard, owner: str, base: int, now: float) -> bool:
-        """Grant a renewal when both sides stand on the same record."""
+        """Grant a renewal if owner and heir know the same newest record; return whether granted."""
         if (row.owner, row.heir, row.base) != (owner, self._process, base):
             return False
-        if self.is_leaving(row):
+        if self.is_taking_over(row):
             return False
         self._granted = now
         return True
 
     def may_take_over(self, row: Shard, now: float) -> bool:
-        """Whether every lease that this heir granted has run out."""
-        if row.heir != self._process or self.is_leaving(row):
+        """Return whether every lease granted by this heir has expired."""
+        if row.heir != self._process or self.is_taking_over(row):
             return False
         return now > self._granted + self._times.lease_s + self._times.drift_s
 
-    def is_leaving(self, row: Shard) -> bool:
-        """Whether a take-over of this row may be on its way into the log."""
-        return self._leaving_base == row.base
+    def is_taking_over(self, row: Shard) -> bool:
+        """Return whether a take-over based on this row may have been appended."""
+        return self._take_over_base == row.base
 
     def begin_take_over(self, row: Shard) -> None:
-        """Stop granting under this row; called before the take-over is appended."""
-        self._leaving_base = row.base
+        """Stop granting under this row; call this before appending the take-over."""
+        self._take_over_base = row.base
--- a/src/gentianmux/ledger.py
+++ b/src/gentianmux/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger of one shard: which ids were admitted, and how their jobs ended."""
+"""The ledger of one shard: the job ids that were admitted and the answers of ended jobs."""
 
 from collections.abc import Iterator
 from enum import Enum
@@ -13,7 +13,11 @@
 
 
 class AdmissionDecision(Enum):
-    """What the ledger says of a submission."""
+    """What to do with a submission.
+
+    ``ADMIT`` starts the job, ``JOIN`` waits for the running one, ``KEPT`` returns the stored
+    answer, ``ASK`` needs the agents' traces of the id first, ``REFUSE`` starts nothing.
+    """
 
     ADMIT = "admit"
     JOIN = "join"
@@ -23,7 +27,7 @@
 
 
 class AdmissionResult(NamedTuple):
-    """A verdict, with the code of a refusal or of a kept answer."""
+    """A decision, with the code of a refusal or stored answer and the first attempt to use."""
 
     decision: AdmissionDecision
     code: ResultCode = ResultCode.OK
@@ -32,7 +36,7 @@
 
 
 class LedgerBounds(NamedTuple):
-    """How long and how much a ledger keeps; times in ms, size in bytes."""
+    """Retention and clock skew in ms, and the size limit in bytes."""
 
     keep_ms: int
     skew_ms: int
@@ -52,15 +56,15 @@
 
 
 class Ledger:
-    """Admits each id once, for as long as it can know that the id is new.
+    """Admits each id at most once; an id that may have been forgotten is refused.
 
     Parameters
     ----------
     bounds : LedgerBounds
-        What it may keep.
+        Retention, clock skew and size limit.
     taken_over_ms : int
-        Unix time at which the shard was taken over without its ledger; ``NO_TIME`` when the
-        ledger is whole.
+        Unix time in ms at which the shard was taken over without its ledger; ``NO_TIME`` when
+        the ledger is complete.
 
     Examples
     --------
@@ -79,15 +83,15 @@
         self.timeless_lost = False
         self.bytes = 0
         self._entries: dict[str, _Entry] = {}
-        self._seen: set[int] = set()
+        self._timeless_fingerprints: set[int] = set()
 
     def check(self, key: str, digest: bytes, submitted_ms: int, now_ms: int) -> AdmissionResult:
-        """Say what to do with a submission; changes nothing."""
+        """Return the decision on a submission without changing the ledger."""
         entry = self._entries.get(key)
         if entry is not None:
-            return self._rule_known(entry, digest)
+            return self._check_known(entry, digest)
         if submitted_ms == NO_TIME:
-            return self._rule_timeless(key)
+            return self._check_timeless(key)
         if submitted_ms <= max(self.horizon_ms, now_ms - self.bounds.keep_ms):
             return AdmissionResult(AdmissionDecision.REFUSE, ResultCode.ID_EXPIRED)
         if self._is_full():
@@ -96,7 +100,7 @@
             return AdmissionResult(AdmissionDecision.ASK)
         return AdmissionResult(AdmissionDecision.ADMIT)
 
-    def _rule_known(self, entry: _Entry, digest: bytes) -> AdmissionResult:
+    def _check_known(self, entry: _Entry, digest: bytes) -> AdmissionResult:
         if entry.digest != digest:
             return AdmissionResult(AdmissionDecision.REFUSE, ResultCode.ID_REUSED)
         if entry.running:
@@ -107,8 +111,8 @@
             return AdmissionResult(AdmissionDecision.REFUSE, ResultCode.ANSWER_FORGOTTEN)
         return AdmissionResult(AdmissionDecision.KEPT, entry.code, entry.answer)
 
-    def _rule_timeless(self, key: str) -> AdmissionResult:
-        if fingerprint(key) in self._seen:
+    def _check_timeless(self, key: str) -> AdmissionResult:
+        if fingerprint(key) in self._timeless_fingerprints:
             return AdmissionResult(AdmissionDecision.REFUSE, ResultCode.ID_EXPIRED)
         if self.timeless_lost:
             return AdmissionResult(AdmissionDecision.REFUSE, ResultCode.ID_WITHOUT_TIME)
@@ -119,7 +123,7 @@
         )
 
     def _new_after(self) -> int:
-        """Ids whose time is later than this cannot have been admitted by an earlier owner."""
+        """Return the Unix time in ms after which no earlier owner can have admitted an id."""
         if self.taken_over_ms == NO_TIME:
             return 0
         return self.taken_over_ms + 2 * self.bounds.skew_ms
@@ -128,13 +132,13 @@
         return self.bytes + ENTRY_BYTES > self.bounds.max_bytes
 
     def admit(self, key: str, digest: bytes, submitted_ms: int) -> None:
-        """Note an id as admitted."""
+        """Record an id as admitted."""
         if key not in self._entries:
             self.bytes += ENTRY_BYTES
         self._entries[key] = _Entry(digest, submitted_ms)
 
     def finish(self, key: str, code: ResultCode, answer: bytes) -> None:
-        """Keep how a job ended."""
+        """Store the result code and answer of a running job."""
         entry = self._entries.get(key)
         if entry is None or not entry.running:
             return
@@ -144,7 +148,7 @@
         self.bytes += len(answer)
 
     def reopen(self, key: str, attempt: int) -> None:
-        """Let a job that is proved not to have run be admitted again, from this attempt on."""
+        """Allow a job that is known not to have run to be admitted again from ``attempt`` on."""
         entry = self._entries.get(key)
         if entry is not None:
             entry.running = False
@@ -152,27 +156,27 @@
             entry.attempt = attempt
 
     def lookup(self, key: str) -> AdmissionResult | None:
-        """What is known of an id, without a submission; None for nothing."""
+        """Return the state of an id as a decision, or None when the id is unknown."""
         entry = self._entries.get(key)
-        return None if entry is None else self._rule_known(entry, entry.digest)
+        return None if entry is None else self._check_known(entry, entry.digest)
 
     def trim(self, now_ms: int) -> None:
-        """Forget what is older than the window, then what is over the bound on bytes.
+        """Remove expired entries, then reduce the ledger to its size limit.
 
-        Answers go before ids, and an id that goes leaves a refusal behind: the horizon for ids
-        with a time, a fingerprint for those without.
+        Answers are removed before ids. A removed id stays refused: ids with a time by the
+        horizon, ids without one by a fingerprint.
         """
         self.horizon_ms = max(self.horizon_ms, now_ms - self.bounds.keep_ms)
         self._drop([key for key, entry in self._entries.items() if self._is_old(entry)])
-        # Room is made before the bound is reached, so that new ids find some.
-        high = self.bounds.max_bytes * 3 // 4
-        if self.bytes > high:
+        # Trimming starts below the limit so that new ids can still be admitted.
+        high_water = self.bounds.max_bytes * 3 // 4
+        if self.bytes > high_water:
             self._drop_answers()
-        if self.bytes > high:
+        if self.bytes > high_water:
             self._drop_oldest()
 
     def _is_old(self, entry: _Entry) -> bool:
-        # An id without a time stays until the bound on bytes pushes it out.
+        # An id without a time does not expire; only the size limit removes it.
         return not entry.running and NO_TIME < entry.submitted_ms <= self.horizon_ms
 
     def _drop_answers(self) -> None:
@@ -210,30 +214,30 @@
                 self._remember_timeless(key)
 
     def _remember_timeless(self, key: str) -> None:
-        if (len(self._seen) + 1) * FINGERPRINT_BYTES > self.bounds.max_bytes // 4:
+        if (len(self._timeless_fingerprints) + 1) * FINGERPRINT_BYTES > self.bounds.max_bytes // 4:
             self.timeless_lost = True
             return
-        self._seen.add(fingerprint(key))
+        self._timeless_fingerprints.add(fingerprint(key))
 
     def export(self) -> tuple[list[LedgerEntry], list[int]]:
-        """All ended entries and fingerprints, for a planned move."""
+        """Return the ended entries and the fingerprints, for a planned move of the shard."""
         entries = [
             LedgerEntry(key, entry.digest, entry.submitted_ms, int(entry.code), entry.answer)
             for key, entry in self._entries.items()
             if not entry.running
         ]
-        return entries, sorted(self._seen)
+        return entries, sorted(self._timeless_fingerprints)
 
     def load(self, entries: list[LedgerEntry], fingerprints: list[int]) -> None:
-        """Take in what another owner exported."""
+        """Add the entries and fingerprints exported by another owner."""
         for each in entries:
             self.admit(each.key, each.digest, each.submitted_ms)
             self.finish(each.key, ResultCode(each.code), each.answer)
-        self._seen.update(fingerprints)
+        self._timeless_fingerprints.update(fingerprints)
 
     def __len__(self) -> int:
         return len(self._entries)
 
     def has_running(self) -> bool:
-        """Whether any admitted job has not ended."""
+        """Return whether any admitted job is still running."""
         return any(entry.running for entry in self._entries.values())
--- a/src/gentianmux/log_app.py
+++ b/src/gentianmux/log_app.py
@@ -1,4 +1,4 @@
-"""The platform log's HTTP interface over a log in memory, with faults that can be set."""
+"""The HTTP interface of the platform's log over an in-memory log, with fault injection."""
 
 import json
 from collections.abc import Iterable
@@ -16,7 +16,7 @@
 
 
 class LogFaults(NamedTuple):
-    """Faults of the stand-in: seconds of delay, outage, and replies to lose after the write."""
+    """Injected faults: delay in seconds, outage, and replies to lose after the append."""
 
     delay_s: float = 0.0
     down: bool = False
--- a/src/gentianmux/log_client.py
+++ b/src/gentianmux/log_client.py
@@ -1,4 +1,4 @@
-"""Reaches the platform's log over HTTP."""
+"""HTTP client of the platform's log."""
 
 import json
 from typing import Any
@@ -15,20 +15,20 @@
 
 
 class HttpLog:
-    """The platform's log as published: append to a stream, read from an offset.
+    """Appends to and reads from the streams of the platform's log.
 
     Parameters
     ----------
     url : str
-        Address by IP number, such as ``http://127.0.0.1:7300``.
+        Address with an IP number, such as ``http://127.0.0.1:7300``.
     timeout_s : float
-        Bound on one call, in seconds.
+        Timeout of one call, in seconds.
 
     Raises
     ------
     LogError
-        ``LOG_UNAVAILABLE`` when no answer came: an append may have taken effect all the same.
-        ``LOG_TRIMMED`` when a read asks for records no longer kept.
+        ``LOG_UNAVAILABLE`` if no answer came; an append may still have taken effect.
+        ``LOG_TRIMMED`` if a read asks for records that are no longer retained.
     """
 
     def __init__(self, url: str, timeout_s: float = 2.0) -> None:
@@ -43,13 +43,13 @@
         return int(content["offset"])
 
     def read(self, stream: str, offset: int, limit: int = DEFAULT_READ_LIMIT) -> list[Record]:
-        """Read at most ``limit`` records from ``offset`` on."""
+        """Read at most ``limit`` records, starting at ``offset``."""
         path = f"/v1/streams/{quote(stream)}?from={offset}&limit={limit}"
         content = self._call("GET", path, b"", 200)
         return [Record(each["offset"], each["data"]) for each in content["records"]]
 
     def oldest(self, stream: str) -> int:
-        """Offset of the oldest record still kept."""
+        """Return the offset of the oldest retained record."""
         content = self._call("GET", f"/v1/streams/{quote(stream)}?from=0&limit=1", b"", 200, 410)
         return int(content["oldest"])
 
--- a/src/gentianmux/membership.py
+++ b/src/gentianmux/membership.py
@@ -1,4 +1,4 @@
-"""Which processes are alive: probes, indirect probes, suspicion and gossip, without I/O."""
+"""Failure detection and dissemination by gossip in the manner of SWIM, without I/O."""
 
 from collections.abc import Callable, Iterable
 from enum import IntEnum
@@ -8,16 +8,16 @@
 from .fleet_records import Join
 from .messages import Gossip, MemberUpdate
 
-UPDATES_A_DATAGRAM = 6
-INDIRECT_PROBES = 3
-RESENDS_FACTOR = 3
-SYNC_DATAGRAMS = 20
-FORGET_S = 60.0
-ISOLATED_AFTER = 3
+UPDATES_PER_DATAGRAM = 6
+INDIRECT_PROBE_COUNT = 3
+RETRANSMIT_FACTOR = 3
+MAX_SYNC_DATAGRAMS = 20
+DEAD_RETENTION_S = 60.0
+ISOLATION_FAILURES = 3
 
 
 class ProcessState(IntEnum):
-    """What is thought of a process."""
+    """The state of a process as seen by membership."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -25,8 +25,8 @@
     DEAD = 3
 
 
-class Kind(IntEnum):
-    """Kinds of datagram."""
+class DatagramKind(IntEnum):
+    """Kinds of gossip datagram."""
 
     PROBE = 0
     ACK = 1
@@ -34,7 +34,7 @@
 
 
 class Timing(NamedTuple):
-    """Seconds between probes, and seconds a silent process stays suspect."""
+    """The probe interval, and the time a process stays suspect before it is dead; seconds."""
 
     probe_s: float
     suspect_s: float
@@ -47,8 +47,8 @@
     gossip: Gossip
 
 
-class Versions(NamedTuple):
-    """How far a process has read the streams."""
+class StreamVersions(NamedTuple):
+    """Offsets up to which a process has read the streams."""
 
     config: int
     fleet: int
@@ -58,7 +58,7 @@
     target: str
     sent: float
     indirect: bool
-    asked_by: str
+    requested_by: str
 
 
 class _Member:
@@ -69,10 +69,10 @@
         self.since = now
 
 
-def describe(
+def to_member_update(
     join: Join, state: ProcessState = ProcessState.ALIVE, counter: int = 0
 ) -> MemberUpdate:
-    """What gossip says of a process that announced itself."""
+    """Return the gossip update that describes a process from its join record."""
     return MemberUpdate(
         join.process,
         join.name,
@@ -88,180 +88,185 @@
 
 
 class Membership:
-    """A view of the fleet that each process keeps by probing one other process a period.
+    """The view of the fleet that a process keeps by probing one other process per period.
 
-    When most of its probes fail, a process suspects itself: it keeps the last good view and
-    declares nobody dead until probes are answered again.
+    A process whose probes of several others fail in a row considers itself isolated: it keeps
+    its view and declares nothing suspect or dead until a probe is answered again.
 
     Parameters
     ----------
-    me : MemberUpdate
+    local : MemberUpdate
         This process.
     timing : Timing
-        Periods.
+        The probe interval and the suspicion timeout.
     rng : Random
-        Source for the order of probes.
+        Chooses the order of probes and the helpers of indirect ones.
 
     Examples
     --------
-    >>> me = MemberUpdate("a.1", "a", "agent", "127.0.0.1:1", "", "fd1", [], 8, 0, 0)
-    >>> members = Membership(me, Timing(0.5, 1.5), Random(1))
+    >>> local = MemberUpdate("a.1", "a", "agent", "127.0.0.1:1", "", "fd1", [], 8, 0, 0)
+    >>> members = Membership(local, Timing(0.5, 1.5), Random(1))
     >>> members.is_alive("a.1")
     True
     """
 
-    def __init__(self, me: MemberUpdate, timing: Timing, rng: Random) -> None:
-        self.me = me
-        self.versions = Versions(-1, -1)
-        self.peer_versions: dict[str, Versions] = {}
+    def __init__(self, local: MemberUpdate, timing: Timing, rng: Random) -> None:
+        self.local = local
+        self.versions = StreamVersions(-1, -1)
+        self.peer_versions: dict[str, StreamVersions] = {}
         self.on_change: Callable[[MemberUpdate], None] = lambda update: None
         self._timing = timing
         self._rng = rng
         self._members: dict[str, _Member] = {}
         self._suspects: set[str] = set()
         self._dead: set[str] = set()
-        self._ring: list[str] = []
+        self._probe_order: list[str] = []
         self._probes: dict[int, _Probe] = {}
-        self._resends: dict[str, int] = {me.process: RESENDS_FACTOR}
+        self._transmits_left: dict[str, int] = {local.process: RETRANSMIT_FACTOR}
         self._seq = 0
         self._failed_in_row = 0
         self._failed_targets: set[str] = set()
 
     @property
     def isolated(self) -> bool:
-        """Whether this process thinks that it is itself that is cut off."""
+        """Whether this process is probably cut off itself."""
         others = len(self._members) - len(self._dead)
-        enough = min(ISOLATED_AFTER, others)
+        enough = min(ISOLATION_FAILURES, others)
         return others > 1 and len(self._failed_targets) >= enough > 1
 
     def is_alive(self, process: str) -> bool:
-        """Whether a process may be given new work."""
-        if process == self.me.process:
-            return self.me.state == ProcessState.ALIVE
+        """Return whether a process may be given new work."""
+        if process == self.local.process:
+            return self.local.state == ProcessState.ALIVE
         member = self._members.get(process)
         return member is not None and member.update.state == ProcessState.ALIVE
 
     def state_of(self, process: str) -> ProcessState | None:
-        """What is thought of a process; None when it is not known."""
-        if process == self.me.process:
-            return ProcessState(self.me.state)
+        """Return the state of a process, or None when it is not known."""
+        if process == self.local.process:
+            return ProcessState(self.local.state)
         member = self._members.get(process)
         return None if member is None else ProcessState(member.update.state)
 
     def get(self, process: str) -> MemberUpdate | None:
-        """What is known of a process."""
-        if process == self.me.process:
-            return self.me
+        """Return the newest update about a process, or None when it is not known."""
+        if process == self.local.process:
+            return self.local
         member = self._members.get(process)
         return None if member is None else member.update
 
-    def everyone(self) -> list[MemberUpdate]:
-        """All processes known, this one among them."""
-        return [self.me, *(each.update for each in self._members.values())]
+    def all_members(self) -> list[MemberUpdate]:
+        """Return updates for all known processes, including this one."""
+        return [self.local, *(each.update for each in self._members.values())]
 
     def alive(self, role: str = "") -> list[MemberUpdate]:
-        """Processes that may be given work, of one role or of all."""
+        """Return the processes that may be given work, of one role or of all."""
         return [
             each
-            for each in self.everyone()
+            for each in self.all_members()
             if each.state == ProcessState.ALIVE and (not role or each.role in (role, "standalone"))
         ]
 
     def add_joined(self, joins: Iterable[Join], now: float) -> None:
-        """Take in processes that the log names and gossip has not."""
+        """Add processes that joined in the log but are not known by gossip."""
         for join in joins:
-            if join.process != self.me.process and join.process not in self._members:
-                self._put(describe(join), now)
+            if join.process != self.local.process and join.process not in self._members:
+                self._store_update(to_member_update(join), now)
 
     def leave(self) -> None:
-        """Say that this process is leaving."""
-        self.me = self.me._replace(state=int(ProcessState.LEAVING), counter=self.me.counter + 1)
-        self._spread(self.me.process)
+        """Announce that this process is leaving."""
+        self.local = self.local._replace(
+            state=int(ProcessState.LEAVING), counter=self.local.counter + 1
+        )
+        self._queue_update(self.local.process)
 
     def tick(self, now: float) -> list[Outgoing]:
-        """Do one period's work: judge open probes, age suspicions, probe the next process."""
-        out = self._judge_probes(now)
+        """Run one period: time out probes and suspicions, then probe the next process."""
+        out = self._check_probes(now)
         if not self.isolated:
-            self._age(now)
+            self._expire(now)
         target = self._next_target()
         if target is not None:
-            out.append(self._probe(target, now, asked_by=""))
+            out.append(self._probe(target, now, requested_by=""))
         return out
 
-    def greet(self, address: str) -> Outgoing:
-        """A first probe to a seed whose name is not known."""
+    def probe_seed(self, address: str) -> Outgoing:
+        """Return a probe for a seed address whose process is not known."""
         self._seq += 1
-        return Outgoing(address, self._gossip(Kind.PROBE, self._seq, ""))
+        return Outgoing(address, self._gossip(DatagramKind.PROBE, self._seq, ""))
 
     def receive(self, gossip: Gossip, address: str, now: float) -> list[Outgoing]:
-        """Take in a datagram and return what to send."""
+        """Handle a datagram and return the datagrams to send."""
         first_contact = gossip.sender not in self._members
         for update in gossip.updates:
             self._merge(update, now)
-        self.peer_versions[gossip.sender] = Versions(gossip.config_version, gossip.fleet_version)
-        if gossip.kind == Kind.PROBE:
+        self.peer_versions[gossip.sender] = StreamVersions(
+            gossip.config_version, gossip.fleet_version
+        )
+        if gossip.kind == DatagramKind.PROBE:
             return self._answer_probe(gossip, address, first_contact)
-        if gossip.kind == Kind.PROBE_FOR:
-            return self._probe_for(gossip, address, now)
-        return self._take_ack(gossip, now)
+        if gossip.kind == DatagramKind.PROBE_FOR:
+            return self._relay_probe(gossip, address, now)
+        return self._handle_ack(gossip, now)
 
     def _answer_probe(self, gossip: Gossip, address: str, first: bool) -> list[Outgoing]:
-        if gossip.target not in ("", self.me.process):
+        if gossip.target not in ("", self.local.process):
             return []
-        out = [Outgoing(address, self._gossip(Kind.ACK, gossip.seq, gossip.sender))]
+        out = [Outgoing(address, self._gossip(DatagramKind.ACK, gossip.seq, gossip.sender))]
         return out + self._full_sync(gossip, address) if first else out
 
     def _full_sync(self, gossip: Gossip, address: str) -> list[Outgoing]:
         updates = [each.update for each in self._members.values()]
-        if len(updates) > SYNC_DATAGRAMS * UPDATES_A_DATAGRAM:
-            updates = self._rng.sample(updates, SYNC_DATAGRAMS * UPDATES_A_DATAGRAM)
-        parts = range(0, len(updates), UPDATES_A_DATAGRAM)
-        base = self._gossip(Kind.ACK, 0, gossip.sender)
+        if len(updates) > MAX_SYNC_DATAGRAMS * UPDATES_PER_DATAGRAM:
+            updates = self._rng.sample(updates, MAX_SYNC_DATAGRAMS * UPDATES_PER_DATAGRAM)
+        parts = range(0, len(updates), UPDATES_PER_DATAGRAM)
+        base = self._gossip(DatagramKind.ACK, 0, gossip.sender)
         return [
-            Outgoing(address, base._replace(updates=updates[at : at + UPDATES_A_DATAGRAM]))
+            Outgoing(address, base._replace(updates=updates[at : at + UPDATES_PER_DATAGRAM]))
             for at in parts
         ]
 
-    def _probe_for(self, gossip: Gossip, address: str, now: float) -> list[Outgoing]:
+    def _relay_probe(self, gossip: Gossip, address: str, now: float) -> list[Outgoing]:
         if gossip.target not in self._members:
             return []
-        return [self._probe(gossip.target, now, asked_by=f"{address}/{gossip.seq}")]
+        return [self._probe(gossip.target, now, requested_by=f"{address}/{gossip.seq}")]
 
-    def _take_ack(self, gossip: Gossip, now: float) -> list[Outgoing]:
+    def _handle_ack(self, gossip: Gossip, now: float) -> list[Outgoing]:
         probe = self._probes.pop(gossip.seq, None)
         if probe is None:
             return []
         self._failed_targets.clear()
-        if probe.asked_by:
-            address, _, seq = probe.asked_by.rpartition("/")
-            return [Outgoing(address, self._gossip(Kind.ACK, int(seq), ""))]
+        if probe.requested_by:
+            address, _, seq = probe.requested_by.rpartition("/")
+            return [Outgoing(address, self._gossip(DatagramKind.ACK, int(seq), ""))]
         return []
 
-    def _judge_probes(self, now: float) -> list[Outgoing]:
+    def _check_probes(self, now: float) -> list[Outgoing]:
         out: list[Outgoing] = []
         for seq, probe in list(self._probes.items()):
             age = now - probe.sent
-            if not probe.indirect and not probe.asked_by and age >= self._timing.probe_s * 0.9:
+            if not probe.indirect and not probe.requested_by and age >= self._timing.probe_s * 0.9:
                 self._probes[seq] = probe._replace(indirect=True)
-                out.extend(self._ask_others(seq, probe.target))
+                out.extend(self._probe_indirectly(seq, probe.target))
             elif age >= self._timing.probe_s * 1.9:
                 del self._probes[seq]
-                if not probe.asked_by:
-                    self._failed(probe.target, now)
+                if not probe.requested_by:
+                    self._on_probe_failed(probe.target, now)
         return out
 
-    def _ask_others(self, seq: int, target: str) -> list[Outgoing]:
+    def _probe_indirectly(self, seq: int, target: str) -> list[Outgoing]:
         others = [
             each.update
             for each in self._members.values()
             if each.update.state == ProcessState.ALIVE and each.update.process != target
         ]
-        chosen = self._rng.sample(others, min(INDIRECT_PROBES, len(others)))
+        chosen = self._rng.sample(others, min(INDIRECT_PROBE_COUNT, len(others)))
         return [
-            Outgoing(each.address, self._gossip(Kind.PROBE_FOR, seq, target)) for each in chosen
+            Outgoing(each.address, self._gossip(DatagramKind.PROBE_FOR, seq, target))
+            for each in chosen
         ]
 
-    def _failed(self, target: str, now: float) -> None:
+    def _on_probe_failed(self, target: str, now: float) -> None:
         member = self._members.get(target)
         if member is None or member.update.state == ProcessState.DEAD:
             return
@@ -269,15 +274,15 @@
         if self.isolated:
             return
         if member.update.state in (ProcessState.ALIVE, ProcessState.LEAVING):
-            self._put(member.update._replace(state=int(ProcessState.SUSPECT)), now)
+            self._store_update(member.update._replace(state=int(ProcessState.SUSPECT)), now)
 
-    def _age(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         for process in list(self._suspects):
             member = self._members[process]
             if now - member.since > self._timing.suspect_s:
-                self._put(member.update._replace(state=int(ProcessState.DEAD)), now)
+                self._store_update(member.update._replace(state=int(ProcessState.DEAD)), now)
         for process in list(self._dead):
-            if now - self._members[process].since > FORGET_S:
+            if now - self._members[process].since > DEAD_RETENTION_S:
                 self._forget(process)
 
     def _forget(self, process: str) -> None:
@@ -287,46 +292,46 @@
 
     def _next_target(self) -> str | None:
         while True:
-            if not self._ring:
-                self._ring = [
+            if not self._probe_order:
+                self._probe_order = [
                     process
                     for process, each in self._members.items()
                     if each.update.state != ProcessState.DEAD
                 ]
-                self._rng.shuffle(self._ring)
-            if not self._ring:
+                self._rng.shuffle(self._probe_order)
+            if not self._probe_order:
                 return None
-            process = self._ring.pop()
+            process = self._probe_order.pop()
             member = self._members.get(process)
             if member is not None and member.update.state != ProcessState.DEAD:
                 return process
 
-    def _probe(self, target: str, now: float, asked_by: str) -> Outgoing:
+    def _probe(self, target: str, now: float, requested_by: str) -> Outgoing:
         self._seq += 1
-        self._probes[self._seq] = _Probe(target, now, False, asked_by)
+        self._probes[self._seq] = _Probe(target, now, False, requested_by)
         address = self._members[target].update.address
-        return Outgoing(address, self._gossip(Kind.PROBE, self._seq, target))
+        return Outgoing(address, self._gossip(DatagramKind.PROBE, self._seq, target))
 
     def _merge(self, update: MemberUpdate, now: float) -> None:
-        if update.process == self.me.process:
+        if update.process == self.local.process:
             self._refute(update)
             return
         known = self._members.get(update.process)
         if known is None:
             if update.state != ProcessState.DEAD:
-                self._put(update, now)
+                self._store_update(update, now)
             return
-        ours = (known.update.counter, known.update.state)
-        if (update.counter, update.state) > ours:
-            self._put(update, now)
+        known_order = (known.update.counter, known.update.state)
+        if (update.counter, update.state) > known_order:
+            self._store_update(update, now)
 
     def _refute(self, update: MemberUpdate) -> None:
-        if update.state == self.me.state or update.counter < self.me.counter:
+        if update.state == self.local.state or update.counter < self.local.counter:
             return
-        self.me = self.me._replace(counter=update.counter + 1)
-        self._spread(self.me.process)
+        self.local = self.local._replace(counter=update.counter + 1)
+        self._queue_update(self.local.process)
 
-    def _put(self, update: MemberUpdate, now: float) -> None:
+    def _store_update(self, update: MemberUpdate, now: float) -> None:
         known = self._members.get(update.process)
         self._members[update.process] = _Member(update, now)
         for state, those in (
@@ -337,28 +342,28 @@
                 those.add(update.process)
             else:
                 those.discard(update.process)
-        self._spread(update.process)
+        self._queue_update(update.process)
         if known is None or known.update.state != update.state:
             self.on_change(update)
 
-    def _spread(self, process: str) -> None:
-        self._resends[process] = RESENDS_FACTOR * max(1, len(self._members).bit_length())
+    def _queue_update(self, process: str) -> None:
+        self._transmits_left[process] = RETRANSMIT_FACTOR * max(1, len(self._members).bit_length())
 
-    def _gossip(self, kind: Kind, seq: int, target: str) -> Gossip:
-        updates = [self.me]
+    def _gossip(self, kind: DatagramKind, seq: int, target: str) -> Gossip:
+        updates = [self.local]
         about = self._members.get(target)
         if about is not None and about.update.state != ProcessState.ALIVE:
-            # A process that hears it is suspected refutes it with a higher counter.
+            # Lets a suspected process refute the suspicion with a higher counter.
             updates.append(about.update)
-        updates.extend(self._take_updates(UPDATES_A_DATAGRAM - len(updates)))
-        return Gossip(int(kind), seq, self.me.process, target, *self.versions, updates)
+        updates.extend(self._next_updates(UPDATES_PER_DATAGRAM - len(updates)))
+        return Gossip(int(kind), seq, self.local.process, target, *self.versions, updates)
 
-    def _take_updates(self, limit: int) -> Iterable[MemberUpdate]:
-        chosen = sorted(self._resends, key=self._resends.__getitem__, reverse=True)
+    def _next_updates(self, limit: int) -> Iterable[MemberUpdate]:
+        chosen = sorted(self._transmits_left, key=self._transmits_left.__getitem__, reverse=True)
         for process in chosen[:limit]:
-            self._resends[process] -= 1
-            if self._resends[process] <= 0:
-                del self._resends[process]
+            self._transmits_left[process] -= 1
+            if self._transmits_left[process] <= 0:
+                del self._transmits_left[process]
             update = self.get(process)
-            if update is not None and process != self.me.process:
+            if update is not None and process != self.local.process:
                 yield update
--- a/src/gentianmux/node.py
+++ b/src/gentianmux/node.py
@@ -1,4 +1,4 @@
-"""Puts the controllers of one process together, runs them, and stops them without loss."""
+"""Assembles the components of one process, runs them and drains them."""
 
 from time import time
 
@@ -24,13 +24,13 @@
 from .stream_reader import StreamReader
 from .witness import Witness
 
-UPKEEP_S = 1.0
-DRAIN_STEP_S = 0.05
-NOTICE_S = 0.3
+MAINTENANCE_INTERVAL_S = 1.0
+DRAIN_POLL_INTERVAL_S = 0.05
+LEAVE_NOTICE_S = 0.3
 
 
 def make_join(cfg: Settings, incarnation: int | None = None) -> Join:
-    """How a process with these settings announces itself."""
+    """Return the join record of a process with these settings."""
     started_ms = int(time() * 1000) if incarnation is None else incarnation
     return Join(
         f"{cfg.name}.{started_ms}",
@@ -46,14 +46,14 @@
 
 
 class Node:
-    """One gentianmux process.
+    """One gentianmux process: its components and their background loops.
 
     Parameters
     ----------
     cfg : Settings
         The settings.
     log : PlatformLog, optional
-        The platform's log, when it is not the one that the settings name.
+        The platform's log, if it is not the one named in the settings.
 
     Examples
     --------
@@ -80,28 +80,28 @@
         self._loops: list[Greenlet] = []
 
     def start(self) -> None:
-        """Listen and run the controllers.
+        """Start listening and run the background loops.
 
         Raises
         ------
         OSError
-            When an address is taken; nothing has been announced then.
+            If an address is in use; nothing has been announced then.
         """
         self.peers.start()
         self.gossip.start()
         self.http.start()
-        loops = [self.stream_reader.run, self.gossip.run, self._upkeep]
+        loops = [self.stream_reader.run, self.gossip.run, self._run_maintenance]
         if self.ctx.is_agent:
             ctx = self.ctx
-            loops += [ctx.shard_manager.run_leases, ctx.coordinator.run_backlog]
+            loops += [ctx.shard_manager.run_lease_loop, ctx.coordinator.run_backlog]
             loops += [ctx.executor.run_lease_renewals]
         self._loops = [gevent.spawn(loop) for loop in loops]
         logger.info("started as {} on {}", self.ctx.identity.role, self.ctx.cfg.peer_address)
 
-    def _upkeep(self) -> None:
+    def _run_maintenance(self) -> None:
         while True:
-            due = self.ctx.now() + UPKEEP_S
-            gevent.sleep(UPKEEP_S)
+            due = self.ctx.now() + MAINTENANCE_INTERVAL_S
+            gevent.sleep(MAINTENANCE_INTERVAL_S)
             self.ctx.metrics.gauge("loop_lag_ms", max(0.0, (self.ctx.now() - due) * 1000))
             self.ctx.metrics.flush()
             self.witness.check_dead()
@@ -111,37 +111,37 @@
                 self.ctx.executor.records.trim(self.ctx.now_ms())
 
     def drain(self) -> bool:
-        """Take nothing new, finish what is in flight, and hand the shards over.
+        """Stop accepting work, finish work in flight and move the shards away.
 
         Returns
         -------
         bool
-            Whether everything ended within the settings' ``drain_s``.
+            Whether all of this completed within ``drain_s`` seconds.
         """
         ctx = self.ctx
         until = ctx.now() + ctx.cfg.drain_s
         ctx.draining = True
         ctx.membership.leave()
         logger.info("draining")
-        gevent.sleep(NOTICE_S)
+        gevent.sleep(LEAVE_NOTICE_S)
         while not self._is_empty():
             if ctx.now() > until:
-                logger.warning("gave up draining with work in flight")
+                logger.warning("draining timed out with work in flight")
                 return False
             if ctx.is_agent:
                 ctx.shard_manager.moves.move_all_away()
-            gevent.sleep(DRAIN_STEP_S)
+            gevent.sleep(DRAIN_POLL_INTERVAL_S)
         self.stream_reader.leave(self._hand_over_records(until))
         return True
 
     def _hand_over_records(self, until: float) -> str:
-        """Give the start records to another agent and return its name, empty for none."""
+        """Send the start records to another agent; return its name, or an empty string."""
         ctx = self.ctx
         while ctx.is_agent and ctx.now() < until:
-            target = ctx.shard_manager.moves.records_target()
+            target = ctx.shard_manager.moves.choose_records_target()
             if not target or ctx.executor.hand_over_records(target):
                 return target
-            gevent.sleep(DRAIN_STEP_S)
+            gevent.sleep(DRAIN_POLL_INTERVAL_S)
         return ""
 
     def _is_empty(self) -> bool:
@@ -150,15 +150,15 @@
             return False
         if not ctx.is_agent:
             return True
-        parted = ctx.executor.send_shutdown_notices()
+        farewells_done = ctx.executor.send_shutdown_notices()
         idle = ctx.executor.is_idle() and not ctx.coordinator.jobs
-        return parted and idle and not self._shards_to_move()
+        return farewells_done and idle and not self._shards_to_move()
 
     def _shards_to_move(self) -> bool:
-        return bool(self.ctx.shard_manager.owned) and self.ctx.shard_manager.moves.has_target()
+        return bool(self.ctx.shard_manager.owned) and self.ctx.shard_manager.moves.has_move_target()
 
     def stop(self) -> None:
-        """Close everything at once."""
+        """Stop immediately, without draining."""
         gevent.killall(self._loops, block=False)
         self.http.stop(timeout=1)
         self.gossip.stop()
--- a/src/gentianmux/node_context.py
+++ b/src/gentianmux/node_context.py
@@ -1,4 +1,4 @@
-"""The blackboard: everything the controllers of one process read and write."""
+"""The shared context of one process: its state and components."""
 
 from random import Random
 from typing import TYPE_CHECKING
@@ -10,8 +10,8 @@
 from .fleet_records import Join
 from .fleet_state import FleetState
 from .ids import shard_of
-from .member_claims import Claims
-from .membership import Membership, Timing, describe
+from .member_claims import MemberClaims
+from .membership import Membership, Timing, to_member_update
 from .metrics import Metrics
 from .platform_log import PlatformLog
 from .settings import Settings
@@ -28,32 +28,32 @@
 
 
 class NodeContext:
-    """The one object that is passed whole to every controller.
+    """State and components of a process, passed to each of its components.
 
     Parameters
     ----------
     cfg : Settings
-        The settings.
+        The settings of the process.
     identity : Join
-        How this process announces itself.
+        The join record of this process.
     log : PlatformLog
         The platform's log.
     clock : Clock, optional
-        Time and deferred calls, when they are not the process's own.
+        Replaces the clock of the process, such as in tests.
 
     Notes
     -----
-    Controllers put themselves on the board: ``peers`` everywhere, ``dispatcher`` at entries,
+    Components register themselves here: ``peers`` everywhere, ``dispatcher`` at entries,
     ``shard_manager``, ``coordinator`` and ``executor`` at agents.
     """
 
     peers: "Peers"
     dispatcher: "Dispatcher"
-    shard_manager: "ShardKeeper"
+    shard_manager: "ShardManager"
     coordinator: "Coordinator"
     executor: "Executor"
     witness: "Witness"
-    stream_reader: "LogWatch"
+    stream_reader: "StreamReader"
     placement: "Placement"
 
     def __init__(
@@ -67,15 +67,15 @@
         self.config = ConfigState()
         self.fleet = FleetState(cfg.shards)
         self.metrics = Metrics(cfg)
-        self.claims = Claims(self.config)
+        self.claims = MemberClaims(self.config)
         self.draining = False
         self.read_requested = Event()
         timing = Timing(cfg.probe_ms / 1000, cfg.suspect_ms / 1000)
-        self.membership = Membership(describe(me), timing, Random(f"gossip {me.process}"))
+        self.membership = Membership(to_member_update(me), timing, Random(f"gossip {me.process}"))
 
     @property
     def process(self) -> str:
-        """Name of this process, with its incarnation."""
+        """The name of this process with its incarnation."""
         return self.identity.process
 
     @property
@@ -84,21 +84,21 @@
         return self.identity.role in ("agent", "standalone")
 
     def shard_of(self, key: str) -> int:
-        """The shard that a key belongs to."""
+        """Return the shard of a key."""
         return shard_of(key, self.cfg.shards)
 
     def address_of(self, process: str) -> str | None:
-        """Where a process listens, from the log or from gossip; None when it is not known."""
+        """Return the address of a process from the log or from gossip, or None if unknown."""
         joined = self.fleet.processes.get(process)
         if joined is not None:
             return joined.address
-        heard = self.membership.get(process)
-        return None if heard is None else heard.address
+        update = self.membership.get(process)
+        return None if update is None else update.address
 
     def now(self) -> float:
-        """Monotonic time in seconds, for leases and timeouts."""
+        """Return the monotonic time in seconds, for leases and timeouts."""
         return self.clock.now()
 
     def now_ms(self) -> int:
-        """Unix time in ms, for ids and deadlines that cross processes."""
+        """Return the Unix time in ms, for ids and deadlines shared between processes."""
         return self.clock.now_ms()
--- a/src/gentianmux/platform_log.py
+++ b/src/gentianmux/platform_log.py
@@ -1,4 +1,4 @@
-"""An append-only log in memory, for standalone mode, tests and the log stand-in."""
+"""Interfaces of the platform's logs, with in-memory implementations."""
 
 import json
 from typing import Any, NamedTuple, Protocol
@@ -16,8 +16,8 @@
     data: str
 
 
-def load_object(record: Record) -> dict[str, Any]:
-    """The JSON object that a record holds; empty when it holds none."""
+def parse_object(record: Record) -> dict[str, Any]:
+    """Return the JSON object in a record, or an empty dict if it holds none."""
     try:
         content = json.loads(record.data)
     except ValueError:
@@ -26,28 +26,28 @@
 
 
 class PlatformLog(Protocol):
-    """What gentianmux relies on in the platform's log, and nothing more."""
+    """The operations that gentianmux needs of the platform's log."""
 
     def append(self, stream: str, data: str) -> int:
-        """Append and return the offset; a ``LogError`` leaves open whether it took effect."""
+        """Append a record and return its offset; after a ``LogError`` it may have taken effect."""
         ...
 
     def read(self, stream: str, offset: int, limit: int = DEFAULT_READ_LIMIT) -> list[Record]:
-        """Read from an offset on; raises ``LOG_TRIMMED`` below the retained records."""
+        """Read records from ``offset`` on; raises ``LOG_TRIMMED`` below the oldest retained one."""
         ...
 
     def oldest(self, stream: str) -> int:
-        """Offset of the oldest record still kept, or of the next one."""
+        """Return the offset of the oldest retained record, or of the next one if there is none."""
         ...
 
 
 class MemoryLog:
-    """Streams of records with a bound on how many are kept.
+    """In-memory streams that retain a limited number of records.
 
     Parameters
     ----------
     retain : int
-        Records kept for each stream.
+        Number of records retained per stream.
 
     Examples
     --------
@@ -74,7 +74,7 @@
         return self.oldest(stream) + len(records) - 1
 
     def read(self, stream: str, offset: int, limit: int = DEFAULT_READ_LIMIT) -> list[Record]:
-        """Read at most ``limit`` records from ``offset`` on."""
+        """Read at most ``limit`` records, starting at ``offset``."""
         oldest = self.oldest(stream)
         if offset < oldest:
             raise LogError(ResultCode.LOG_TRIMMED, f"{stream} starts at {oldest}")
@@ -83,33 +83,33 @@
         return [Record(offset + i, data) for i, data in enumerate(chosen)]
 
     def oldest(self, stream: str) -> int:
-        """Offset of the oldest record kept, or of the next one when none is."""
+        """Return the offset of the oldest retained record, or of the next one if there is none."""
         return self._oldest.get(stream, 0)
 
 
 class Newest(NamedTuple):
-    """The newest value of each key of a keyed topic, and the offset that follows them."""
+    """The newest value of each key of a topic, and the offset after them."""
 
     values: dict[str, bytes]
     end: int
 
 
 class Changes(NamedTuple):
-    """Records of a keyed topic in their order, and the offset that follows them."""
+    """Records of a topic in order, and the offset after them."""
 
     values: list[tuple[str, bytes]]
     end: int
 
 
 class KeyedLog(Protocol):
-    """What gentianmux relies on in topics of which the newest record of each key is kept.
+    """The operations that gentianmux needs of topics that retain the newest record per key.
 
-    Every call raises a ``LogError``: ``LOG_UNAVAILABLE`` when no usable answer came, and a write
-    may then have taken effect; ``LOG_TRIMMED`` when records asked for are no longer kept.
+    Every call may raise a ``LogError``: ``LOG_UNAVAILABLE`` if no usable answer came, in which
+    case a write may have taken effect; ``LOG_TRIMMED`` if the records are no longer retained.
     """
 
     def put(self, topic: str, key: str, value: bytes) -> None:
-        """Make a value the newest of its key; an empty one drops the key."""
+        """Set the newest value of a key; an empty value removes the key."""
         ...
 
     def newest(self, topic: str) -> Newest:
@@ -117,7 +117,7 @@
         ...
 
     def changes(self, topic: str, offset: int, wait_s: float) -> Changes:
-        """Read what came from an offset on, waiting up to ``wait_s`` for something to come."""
+        """Read records from an offset on, waiting up to ``wait_s`` seconds for the first."""
         ...
 
 
@@ -136,7 +136,7 @@
         self._records: dict[str, list[tuple[str, bytes]]] = {}
 
     def put(self, topic: str, key: str, value: bytes) -> None:
-        """Make a value the newest of its key."""
+        """Set the newest value of a key."""
         self._records.setdefault(topic, []).append((key, value))
 
     def newest(self, topic: str) -> Newest:
@@ -145,6 +145,6 @@
         return Newest({key: value for key, value in dict(records).items() if value}, len(records))
 
     def changes(self, topic: str, offset: int, wait_s: float) -> Changes:
-        """Read what came from an offset on; this one never waits."""
+        """Read records from an offset on without waiting."""
         records = self._records.get(topic, [])
         return Changes(records[offset:], len(records))
--- a/src/gentianmux/publish.py
+++ b/src/gentianmux/publish.py
@@ -1,4 +1,4 @@
-"""Publishes changes of configuration and reads back what became of them."""
+"""Publishes configuration changes and reads back their outcomes."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -12,7 +12,7 @@
 
 
 class PublishResult(NamedTuple):
-    """What became of a change: ``OK``, ``CHANGE_CONFLICT``, ``CHANGE_INVALID`` or unknown."""
+    """The outcome of a change: ``OK``, or a ``CHANGE_...`` code with the faults found."""
 
     code: ResultCode
     offset: int
@@ -22,35 +22,40 @@
 def publish(
     log: PlatformLog, change: Change, attempts: int, pause: Callable[[], None]
 ) -> PublishResult:
-    """Append a change and read it back.
+    """Append a change and read back its outcome.
 
-    A reply that was lost after the write is no loss: the change is looked for by its id, and an
-    append that is repeated is ignored by every reader.
+    A lost reply is harmless: the change is looked up by its id, and readers ignore a repeated
+    append of the same id.
 
     Parameters
     ----------
     log : PlatformLog
         The platform's log.
     change : Change
-        With a change id of its own.
+        The change, with a unique change id.
     attempts : int
-        Rounds of append and read before it is called unknown.
+        Number of rounds of append and read before the outcome is reported as unknown.
     pause : callable
         Called between rounds.
+
+    Returns
+    -------
+    PublishResult
+        The outcome; ``CHANGE_UNKNOWN`` if it could not be read back.
     """
     follower = Follower(log, STREAM, ConfigState())
-    state = follower.fold
+    state = follower.state
     assert isinstance(state, ConfigState)
     for attempt in range(attempts):
         if attempt:
             pause()
-        found = _round(log, change, follower, state)
+        found = _try_publish(log, change, follower, state)
         if found is not None:
             return found
     return PublishResult(ResultCode.CHANGE_UNKNOWN, -1, [])
 
 
-def _round(
+def _try_publish(
     log: PlatformLog, change: Change, follower: Follower, state: ConfigState
 ) -> PublishResult | None:
     try:
@@ -65,7 +70,7 @@
 
 
 def read_config(log: PlatformLog) -> ConfigState:
-    """The configuration as the log has it now."""
+    """Read the current configuration from the log."""
     state = ConfigState()
     Follower(log, STREAM, state).poll()
     return state
--- a/src/gentianmux/shard_moves.py
+++ b/src/gentianmux/shard_moves.py
@@ -1,10 +1,10 @@
-"""Planned moves of shards: a ledger goes to another agent, then the log says so."""
+"""Planned moves of shards: the ledger is sent first, then the handover is appended."""
 
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, NamedTuple
 
 from .fleet_records import Handover, ShardChange
-from .fleet_state import NOBODY, Shard
+from .fleet_state import NO_PROCESS, Shard
 from .ledger import Ledger, LedgerBounds
 from .messages import HandoverReply, LedgerEntry, LedgerHandover
 from .node_context import NodeContext
@@ -12,14 +12,14 @@
 if TYPE_CHECKING:
     from .shard_manager import OwnedShard, ShardManager
 
-HANDOVER_PART = 500
-MOVES_AT_ONCE = 4
-MOVE_REPLY_S = 2.0
-MOVE_POLL_S = 0.01
+ENTRIES_PER_FRAME = 500
+MAX_CONCURRENT_MOVES = 4
+MOVE_REPLY_TIMEOUT_S = 2.0
+MOVE_POLL_INTERVAL_S = 0.01
 
 
-class Incoming(NamedTuple):
-    """A ledger that another owner handed over, waiting for the record that names us."""
+class IncomingLedger(NamedTuple):
+    """A ledger received from its owner, pending the handover record that names this agent."""
 
     base: int
     process: str
@@ -28,23 +28,23 @@
 
 
 class ShardMoves:
-    """Moves shards to where rendezvous hashing prefers them, and away from a leaving agent.
+    """Moves shards to the agents preferred by rendezvous hashing, and off a leaving agent.
 
     Parameters
     ----------
     ctx : NodeContext
-        The blackboard.
+        The shared context of the process.
     shard_manager : ShardManager
-        The shards that this agent owns.
+        The manager of this agent's shards.
     """
 
-    def __init__(self, ctx: NodeContext, shard_manager: "ShardKeeper") -> None:
+    def __init__(self, ctx: NodeContext, shard_manager: "ShardManager") -> None:
         self._ctx = ctx
         self._shard_manager = shard_manager
-        self._incoming: dict[int, Incoming] = {}
+        self._incoming: dict[int, IncomingLedger] = {}
 
     def received_ledger(self, number: int, row: Shard, bounds: LedgerBounds) -> Ledger | None:
-        """The ledger that was handed over for a shard, when a planned move brought it here."""
+        """Return the ledger received for a shard, or None unless a planned move brought it."""
         incoming = self._incoming.pop(number, None)
         if incoming is None or not incoming.parts or not incoming.parts[-1].last:
             return None
@@ -59,60 +59,62 @@
         self._ctx.metrics.count("handovers")
         return ledger
 
-    def balance(self) -> None:
-        """Move shards to the agents that rendezvous hashing prefers, a few at a time."""
+    def rebalance(self) -> None:
+        """Move shards to the agents preferred by rendezvous hashing, a few at a time."""
         if self._ctx.draining:
             return
         agents = self._shard_manager.live_agents()
-        moving = sum(1 for owned in self._shard_manager.owned.values() if owned.moving_to)
+        moving = sum(1 for owned in self._shard_manager.owned.values() if owned.move_target)
         for number in list(self._shard_manager.owned):
-            if moving >= MOVES_AT_ONCE:
+            if moving >= MAX_CONCURRENT_MOVES:
                 return
-            best = self._shard_manager.best(number, agents)
-            if best not in (self._ctx.process, NOBODY) and self._begin_move(number, best):
+            best = self._shard_manager.preferred_agent(number, agents)
+            if best not in (self._ctx.process, NO_PROCESS) and self._begin_move(number, best):
                 moving += 1
 
     def _begin_move(self, number: int, target: str) -> bool:
         owned = self._shard_manager.owned[number]
         row = self._ctx.fleet.shards[number]
-        if owned.moving_to or not owned.lease.is_valid(row, self._ctx.now()):
+        if owned.move_target or not owned.lease.is_valid(row, self._ctx.now()):
             return False
-        # The lease is valid, so whatever change was pending has been read back.
+        # A valid lease implies that any pending change has been read back from the log.
         owned.pending = None
         owned.lease.freeze(row.base)
-        owned.moving_to = target
+        owned.move_target = target
         owned.move += 1
         self._send_ledger(number, owned, row, owned.move)
         return True
 
     def _send_ledger(self, number: int, owned: "OwnedShard", row: Shard, move: int) -> None:
-        """Send the ledger once its jobs have ended; the reply leads to the record."""
+        """Send the ledger once its jobs have ended; the reply triggers the handover record."""
         if self._shard_manager.owned.get(number) is not owned or owned.move != move:
             return
         if owned.ledger.has_running():
-            self._ctx.clock.call_later(MOVE_POLL_S, self._send_ledger, number, owned, row, move)
+            self._ctx.clock.call_later(
+                MOVE_POLL_INTERVAL_S, self._send_ledger, number, owned, row, move
+            )
             return
-        for part in _handover_parts(number, row.base, self._ctx.process, owned):
-            self._ctx.peers.send(owned.moving_to, part)
-        self._ctx.clock.call_later(MOVE_REPLY_S, self._check_reply, owned, move)
+        for part in _handover_frames(number, row.base, self._ctx.process, owned):
+            self._ctx.peers.send(owned.move_target, part)
+        self._ctx.clock.call_later(MOVE_REPLY_TIMEOUT_S, self._check_reply, owned, move)
 
     def _check_reply(self, owned: "OwnedShard", move: int) -> None:
-        # Nothing is appended before the reply, so a move without one can be called off.
-        if owned.move == move and owned.moving_to and owned.pending is None:
-            self._call_off(owned)
+        # Nothing is appended before the reply, so a move without a reply can be cancelled.
+        if owned.move == move and owned.move_target and owned.pending is None:
+            self._cancel_move(owned)
 
-    def _call_off(self, owned: "OwnedShard") -> None:
-        owned.moving_to = NOBODY
+    def _cancel_move(self, owned: "OwnedShard") -> None:
+        owned.move_target = NO_PROCESS
         owned.move += 1
-        owned.lease.thaw()
+        owned.lease.unfreeze()
 
     def on_handover(self, msg: LedgerHandover, sender: str) -> None:
-        """Take in a ledger that is being moved here."""
+        """Store a part of a ledger that is being moved to this agent."""
         taken = not self._ctx.draining
         known = self._incoming.get(msg.shard)
         move = (msg.base, msg.process, msg.move)
         if known is None or (known.base, known.process, known.move) != move:
-            known = Incoming(*move, [])
+            known = IncomingLedger(*move, [])
             self._incoming[msg.shard] = known
         known.parts.append(msg)
         if msg.last:
@@ -120,49 +122,49 @@
             self._ctx.peers.send(sender, reply)
 
     def on_handover_reply(self, msg: HandoverReply, sender: str) -> None:
-        """Append the record of a planned move, once its target holds the ledger."""
+        """Append the handover record once the target holds the ledger."""
         owned = self._shard_manager.owned.get(msg.shard)
         row = self._ctx.fleet.shards[msg.shard]
         if owned is None or (row.base, owned.move) != (msg.base, msg.move):
             return
-        if owned.moving_to != sender or owned.pending is not None:
+        if owned.move_target != sender or owned.pending is not None:
             return
         if not msg.taken:
-            self._call_off(owned)
+            self._cancel_move(owned)
             return
-        heir = self._shard_manager.heir_for(msg.shard, sender)
+        heir = self._shard_manager.choose_heir(msg.shard, sender)
         change = ShardChange(msg.shard, row.base, heir)
         record = Handover(self._ctx.process, sender, self._ctx.now_ms(), [change])
         self._shard_manager.append_change(record)
 
     def move_all_away(self) -> None:
-        """Move every shard away, since this agent is leaving."""
+        """Move every shard to another agent, because this one is leaving."""
         agents = [each for each in self._shard_manager.live_agents() if each != self._ctx.process]
         for number in list(self._shard_manager.owned):
-            target = self._shard_manager.best(number, agents)
-            if target != NOBODY:
+            target = self._shard_manager.preferred_agent(number, agents)
+            if target != NO_PROCESS:
                 self._begin_move(number, target)
             row, owned = self._ctx.fleet.shards[number], self._shard_manager.owned[number]
             self._shard_manager.is_pending(number, owned, row, self._ctx.now())
 
-    def has_target(self) -> bool:
-        """Whether any live agent could take this one's shards."""
+    def has_move_target(self) -> bool:
+        """Return whether another live agent could take this agent's shards."""
         return any(agent != self._ctx.process for agent in self._shard_manager.live_agents())
 
-    def records_target(self) -> str:
-        """Who shall hold this agent's start records once it has left."""
-        return self._shard_manager.heir_for(0, self._ctx.process)
+    def choose_records_target(self) -> str:
+        """Return the agent to hold this agent's start records after it has left."""
+        return self._shard_manager.choose_heir(0, self._ctx.process)
 
 
-def _handover_parts(
+def _handover_frames(
     number: int, base: int, process: str, owned: "OwnedShard"
 ) -> Iterable[LedgerHandover]:
     ledger = owned.ledger
     entries, fingerprints = ledger.export()
-    starts = range(0, max(1, len(entries)), HANDOVER_PART)
+    starts = range(0, max(1, len(entries)), ENTRIES_PER_FRAME)
     for start in starts:
-        part: list[LedgerEntry] = entries[start : start + HANDOVER_PART]
-        last = start + HANDOVER_PART >= len(entries)
+        part: list[LedgerEntry] = entries[start : start + ENTRIES_PER_FRAME]
+        last = start + ENTRIES_PER_FRAME >= len(entries)
         yield LedgerHandover(
             number,
             base,
--- a/src/gentianmux/standalone.py
+++ b/src/gentianmux/standalone.py
@@ -1,4 +1,4 @@
-"""Everything in one process, for trying gentianmux out: log, sample endpoint, entry, agent."""
+"""Standalone mode: the log, a sample endpoint, an entry and an agent in one process."""
 
 from .http_server import HttpServer
 from .log_app import LogApp
@@ -16,7 +16,7 @@
     Parameters
     ----------
     cfg : Settings
-        The settings; ``log_url`` and ``endpoint`` say where the two listen.
+        The settings; ``log_url`` and ``endpoint`` are the addresses that the two listen on.
     """
 
     def __init__(self, cfg: Settings) -> None:
@@ -29,17 +29,17 @@
         self.node = Node(cfg, log)
 
     def start(self) -> None:
-        """Start all three."""
+        """Start the log, the endpoint and the node."""
         self.log_server.start()
         self.endpoint.start()
         self.node.start()
 
     def drain(self) -> bool:
-        """Finish what is in flight."""
+        """Drain the node; return whether all work ended in time."""
         return self.node.drain()
 
     def stop(self) -> None:
-        """Close everything at once."""
+        """Stop immediately, without draining."""
         self.node.stop()
         self.endpoint.stop(timeout=1)
         self.log_server.stop(timeout=1)
--- a/src/gentianmux/start_records.py
+++ b/src/gentianmux/start_records.py
@@ -1,4 +1,4 @@
-"""What an agent knows of every task it was asked to start."""
+"""Records of the tasks that an agent was asked to start, and whether each one started."""
 
 from collections.abc import Iterable, Iterator
 from enum import Enum
@@ -10,7 +10,7 @@
 
 
 class TaskState(Enum):
-    """Where a task stands at this agent."""
+    """The state of a task at this agent."""
 
     QUEUED = "queued"
     STARTED = "started"
@@ -19,9 +19,9 @@
 
 
 class TaskRecord:
-    """One task: its newest attempt, its state, and its result once it has one."""
+    """One task: its newest attempt, its state, and its result if any."""
 
-    __slots__ = ("attempt", "epoch", "result", "since", "state", "task")
+    __slots__ = ("attempt", "epoch", "result", "state", "state_since", "task")
 
     def __init__(self, task: Task, epoch: int, now: float) -> None:
         self.task = task
@@ -33,7 +33,7 @@
 
 
 class JobRecord:
-    """The tasks of one job at this agent, and who coordinates it."""
+    """The tasks of one job at this agent, and the process that coordinates the job."""
 
     __slots__ = (
         "coordinator",
@@ -42,7 +42,7 @@
         "epoch",
         "key",
         "member",
-        "open",
+        "open_count",
         "seen_ms",
         "service",
         "shard",
@@ -65,8 +65,8 @@
         self.open_count = 0
 
 
-class Offer(NamedTuple):
-    """What became of a batch: the job's record, tasks queued now, refusals for the sender."""
+class AcceptedBatch(NamedTuple):
+    """The outcome of a batch: the job's record, newly queued tasks, refusals for the sender."""
 
     job: JobRecord | None
     queued: list[TaskRecord]
@@ -74,15 +74,15 @@
 
 
 class StartRecords:
-    """Decides, once and for each task, whether it starts here.
+    """Decides once for each task whether it starts at this agent.
 
-    A task that was refused here stays refused for that epoch and attempt, so ``not run`` is a
-    proof; a task that has started is never started again.
+    A refused task stays refused for that epoch and attempt, so a reported refusal guarantees
+    that it did not run. A task that has started is never started again.
 
     Parameters
     ----------
     keep_ms : int
-        How long the record of an ended job is kept.
+        How long the record of an ended job is kept, in ms.
 
     Examples
     --------
@@ -101,27 +101,29 @@
         self.jobs: dict[str, JobRecord] = {}
         self.fences: dict[int, int] = {}
 
-    def accept_batch(self, batch: StartBatch, coordinator: str, now: float, now_ms: int) -> Offer:
-        """Take in a batch; results of tasks that have ended are put among the unsent ones."""
+    def accept_batch(
+        self, batch: StartBatch, coordinator: str, now: float, now_ms: int
+    ) -> AcceptedBatch:
+        """Queue the new tasks of a batch; results of ended tasks are added to the unsent ones."""
         if batch.epoch < self.fences.get(batch.shard, -1):
             refused = [_not_run(task, ResultCode.STALE_EPOCH) for task in batch.tasks]
-            return Offer(None, [], refused)
+            return AcceptedBatch(None, [], refused)
         job = self.jobs.get(batch.key)
         if job is None:
             job = JobRecord(batch, coordinator, now_ms)
             self.jobs[batch.key] = job
         if batch.epoch > job.epoch:
-            # What was meant for the older owner is of no use to this one, which asks again.
+            # The new owner sends its tasks again, so results for the older one are not needed.
             job.unsent.clear()
         job.epoch, job.coordinator, job.eager = batch.epoch, coordinator, batch.eager
         job.deadline_ms = batch.deadline_ms
         self.fences[batch.shard] = batch.epoch
-        queued = [record for task in batch.tasks for record in self._take(job, task, now)]
-        return Offer(job, queued, [])
+        queued = [record for task in batch.tasks for record in self._accept_task(job, task, now)]
+        return AcceptedBatch(job, queued, [])
 
-    def _take(self, job: JobRecord, task: Task, now: float) -> Iterator[TaskRecord]:
+    def _accept_task(self, job: JobRecord, task: Task, now: float) -> Iterator[TaskRecord]:
         record = job.tasks.get(task.number)
-        if record is None or _may_try_again(record, job.epoch, task.attempt):
+        if record is None or _may_retry(record, job.epoch, task.attempt):
             record = TaskRecord(task, job.epoch, now)
             job.tasks[task.number] = record
             job.open_count += 1
@@ -130,7 +132,7 @@
             job.unsent.append(record.result)
 
     def begin(self, job: JobRecord, record: TaskRecord, now: float) -> bool:
-        """Decide that a queued task starts now; false when it was taken back before."""
+        """Mark a queued task as started; return False if it was withdrawn before."""
         if record.state is not TaskState.QUEUED:
             return False
         record.state = TaskState.STARTED
@@ -138,14 +140,14 @@
         return True
 
     def finish(self, job: JobRecord, record: TaskRecord, result: TaskResult) -> None:
-        """Keep the result of a task that had started."""
+        """Store the result of a started task."""
         record.state = TaskState.DONE
         record.result = result
         job.unsent.append(result)
         job.open_count -= 1
 
     def refuse(self, job: JobRecord, record: TaskRecord, code: ResultCode) -> bool:
-        """Decide that a queued task does not start; false when it has started already."""
+        """Refuse a queued task; return False if it is not queued any more."""
         if record.state is not TaskState.QUEUED:
             return False
         record.state = TaskState.REFUSED
@@ -155,7 +157,7 @@
         return True
 
     def revoke(self, key: str) -> list[TaskRecord]:
-        """Take back what has not started of a job and return the tasks that run."""
+        """Refuse the queued tasks of a job and return its running tasks."""
         job = self.jobs.get(key)
         if job is None:
             return []
@@ -164,28 +166,28 @@
         return [each for each in job.tasks.values() if each.state is TaskState.STARTED]
 
     def fence(self, shard: int, epoch: int) -> list[JobRecord]:
-        """Refuse older epochs of a shard from now on, and give back what they have queued."""
+        """Refuse older epochs of a shard from now on, and return the jobs whose tasks were refused."""
         if epoch <= self.fences.get(shard, -1):
             return []
         self.fences[shard] = epoch
-        touched = [
+        affected = [
             job
             for job in self.jobs.values()
             if job.shard == shard and job.epoch < epoch and job.open_count
         ]
-        for job in touched:
+        for job in affected:
             for record in job.tasks.values():
                 self.refuse(job, record, ResultCode.STALE_EPOCH)
-        return touched
+        return affected
 
     def traces(self, keys: Iterable[str]) -> list[Trace]:
-        """What runs and what has ended of these keys; refused tasks leave no trace."""
+        """Return the running and ended tasks of these keys; refused tasks are left out."""
         found = (self.jobs[key] for key in keys if key in self.jobs)
         traces = (_trace(job) for job in found)
         return [each for each in traces if each.running or each.results]
 
     def export(self) -> list[EndedJob]:
-        """All that ended here, for another agent to answer from."""
+        """Return all ended tasks, for another agent that will answer trace queries."""
         traces = ((job, _trace(job)) for job in self.jobs.values())
         return [
             EndedJob(job.key, job.shard, job.epoch, job.seen_ms, trace.results)
@@ -194,7 +196,7 @@
         ]
 
     def load(self, jobs: list[EndedJob], forgotten_ms: int, now: float) -> None:
-        """Take in another agent's records, as if their tasks had ended here."""
+        """Add another agent's records, as if their tasks had ended here."""
         self.forgotten_ms = max(self.forgotten_ms, forgotten_ms)
         for ended in jobs:
             batch = StartBatch(ended.key, ended.shard, ended.epoch, "", "", -1, -1, False, 0, 0, [])
@@ -206,7 +208,7 @@
                     record.state, record.result = TaskState.DONE, result
 
     def trim(self, now_ms: int) -> None:
-        """Forget jobs that ended before the window, and remember that something is forgotten."""
+        """Remove ended jobs older than the retention, and record up to when starts are forgotten."""
         limit = now_ms - self._keep_ms
         old = [key for key, job in self.jobs.items() if not job.open_count and job.seen_ms < limit]
         for key in old:
@@ -214,8 +216,8 @@
             del self.jobs[key]
 
 
-def _may_try_again(record: TaskRecord, epoch: int, attempt: int) -> bool:
-    """Whether a refusal was given under an older epoch or to an earlier attempt."""
+def _may_retry(record: TaskRecord, epoch: int, attempt: int) -> bool:
+    """Return whether a task was refused only under an older epoch or for an earlier attempt."""
     refused = record.state is TaskState.REFUSED
     return refused and (epoch, attempt) > (record.epoch, record.attempt)
 
@@ -235,7 +237,7 @@
 
 
 def may_have_forgotten(forgotten_ms: int, submitted_ms: int, skew_ms: int) -> bool:
-    """Whether an agent could have forgotten a start of an id submitted at that time."""
+    """Return whether an agent may have forgotten a start of an id submitted at that time."""
     if forgotten_ms == 0:
         return False
     return submitted_ms == NO_TIME or submitted_ms - 2 * skew_ms <= forgotten_ms
--- a/src/gentianmux/trace_collector.py
+++ b/src/gentianmux/trace_collector.py
@@ -1,4 +1,4 @@
-"""Asks all agents what they know of ids, after a shard was taken over without its ledger."""
+"""Collects traces of job ids from all agents after a take-over without a ledger."""
 
 from collections import defaultdict
 from typing import NamedTuple
@@ -12,129 +12,129 @@
 from .node_context import NodeContext
 from .start_records import may_have_forgotten
 
-GATHER_S = 0.005
-WAIT_S = 1.5
-MAX_PARKED = 1000
+QUERY_BATCH_DELAY_S = 0.005
+REPLY_TIMEOUT_S = 1.5
+MAX_PENDING = 1000
 
 
-class _Parked(NamedTuple):
+class _PendingSubmission(NamedTuple):
     msg: Submit
     waiter: Waiter
 
 
-class _Question:
+class _OpenQuery:
     def __init__(self, shard: int, epoch: int, asked: list[str]) -> None:
         self.shard = shard
         self.epoch = epoch
-        self.missing = set(asked)
-        self.parked: dict[str, list[_Parked]] = {}
+        self.unanswered = set(asked)
+        self.pending: dict[str, list[_PendingSubmission]] = {}
         self.found: dict[str, dict[str, Trace]] = defaultdict(dict)
         self.forgotten_ms = 0
 
 
 class TraceCollector:
-    """Gathers ids for a moment, asks once for all of them, and rules when answers are in.
+    """Batches trace queries per shard, and decides on submissions when the replies are in.
 
     Parameters
     ----------
     ctx : NodeContext
-        The blackboard.
+        The shared context of the process.
     """
 
     def __init__(self, ctx: NodeContext) -> None:
         self._ctx = ctx
-        self._gathering: dict[int, dict[str, list[_Parked]]] = {}
-        self._questions: dict[int, _Question] = {}
-        self._waiting: dict[str, list[_Parked]] = {}
-        self._next = 0
-
-    def ask(self, msg: Submit, waiter: Waiter) -> None:
-        """Park a submission until the traces of its id are known."""
-        parked = self._waiting.get(msg.key)
-        if parked is not None:
-            parked.append(_Parked(msg, waiter))
+        self._batches: dict[int, dict[str, list[_PendingSubmission]]] = {}
+        self._open_queries: dict[int, _OpenQuery] = {}
+        self._pending: dict[str, list[_PendingSubmission]] = {}
+        self._last_number = 0
+
+    def query(self, msg: Submit, waiter: Waiter) -> None:
+        """Hold a submission until the traces of its id are known."""
+        pending = self._pending.get(msg.key)
+        if pending is not None:
+            pending.append(_PendingSubmission(msg, waiter))
             return
-        if len(self._waiting) >= MAX_PARKED:
+        if len(self._pending) >= MAX_PENDING:
             self._ctx.coordinator.apply_ruling(
                 AdmissionResult(AdmissionDecision.REFUSE, ResultCode.TRACES_PENDING), msg, waiter
             )
             return
-        line = [_Parked(msg, waiter)]
-        self._waiting[msg.key] = line
+        submissions = [_PendingSubmission(msg, waiter)]
+        self._pending[msg.key] = submissions
         shard = self._ctx.shard_of(msg.key)
-        if shard not in self._gathering:
-            self._gathering[shard] = {}
-            self._ctx.clock.call_later(GATHER_S, self._send, shard)
-        self._gathering[shard][msg.key] = line
+        if shard not in self._batches:
+            self._batches[shard] = {}
+            self._ctx.clock.call_later(QUERY_BATCH_DELAY_S, self._send, shard)
+        self._batches[shard][msg.key] = submissions
 
     def _send(self, shard: int) -> None:
         ctx = self._ctx
-        lines = self._gathering.pop(shard)
+        batch = self._batches.pop(shard)
         agents = sorted(
             join.process for join in ctx.fleet.processes.values() if join.role != "entry"
         )
-        question = _Question(shard, ctx.fleet.shards[shard].epoch, agents)
-        question.parked = lines
-        self._next += 1
-        number = self._next
-        self._questions[number] = question
-        query = TraceQuery(number, shard, question.epoch, list(lines))
+        open_query = _OpenQuery(shard, ctx.fleet.shards[shard].epoch, agents)
+        open_query.pending = batch
+        self._last_number += 1
+        number = self._last_number
+        self._open_queries[number] = open_query
+        query = TraceQuery(number, shard, open_query.epoch, list(batch))
         for agent in agents:
             ctx.peers.send(agent, query)
-        ctx.clock.call_later(WAIT_S, self._rule, number)
+        ctx.clock.call_later(REPLY_TIMEOUT_S, self._decide, number)
 
     def on_reply(self, reply: TraceReply) -> None:
-        """Take in one agent's answer."""
-        question = self._questions.get(reply.query)
-        if question is None or reply.process not in question.missing:
+        """Handle one agent's reply; decide when no other agent has to be waited for."""
+        open_query = self._open_queries.get(reply.query)
+        if open_query is None or reply.process not in open_query.unanswered:
             return
-        question.missing.discard(reply.process)
-        question.forgotten_ms = max(question.forgotten_ms, reply.forgotten_ms)
+        open_query.unanswered.discard(reply.process)
+        open_query.forgotten_ms = max(open_query.forgotten_ms, reply.forgotten_ms)
         for trace in reply.traces:
-            question.found[trace.key][reply.process] = trace
-        if question.missing <= {self._ctx.fleet.shards[question.shard].prior}:
-            self._rule(reply.query)
+            open_query.found[trace.key][reply.process] = trace
+        if open_query.unanswered <= {self._ctx.fleet.shards[open_query.shard].prior}:
+            self._decide(reply.query)
 
-    def _rule(self, number: int) -> None:
-        question = self._questions.pop(number, None)
-        if question is None:
+    def _decide(self, number: int) -> None:
+        open_query = self._open_queries.pop(number, None)
+        if open_query is None:
             return
-        for key, line in question.parked.items():
-            self._waiting.pop(key, None)
-            first, *others = line
-            self._rule_one(question, key, first)
+        for key, submissions in open_query.pending.items():
+            self._pending.pop(key, None)
+            first, *others = submissions
+            self._decide_one(open_query, key, first)
             for each in others:
                 self._ctx.coordinator.on_submit(each.msg, each.waiter)
 
-    def _rule_one(self, question: _Question, key: str, parked: _Parked) -> None:
+    def _decide_one(self, open_query: _OpenQuery, key: str, pending: _PendingSubmission) -> None:
         ctx = self._ctx
-        row = ctx.fleet.shards[question.shard]
-        refusal = ctx.shard_manager.refusal(question.shard)
-        if refusal is None and row.epoch != question.epoch:
+        row = ctx.fleet.shards[open_query.shard]
+        refusal = ctx.shard_manager.refusal(open_query.shard)
+        if refusal is None and row.epoch != open_query.epoch:
             refusal = ResultCode.NOT_OWNER
-        whole = self._is_whole(question, row, parked.msg)
-        traces = question.found.get(key, {})
-        if refusal is None and not traces and not whole:
+        conclusive = self._is_conclusive(open_query, row, pending.msg)
+        traces = open_query.found.get(key, {})
+        if refusal is None and not traces and not conclusive:
             refusal = ResultCode.OUTCOME_UNKNOWN
         if refusal is not None:
             ruling = AdmissionResult(AdmissionDecision.REFUSE, refusal)
-            ctx.coordinator.apply_ruling(ruling, parked.msg, parked.waiter)
+            ctx.coordinator.apply_ruling(ruling, pending.msg, pending.waiter)
         elif traces:
-            ctx.coordinator.resume(parked.msg, parked.waiter, traces, whole)
+            ctx.coordinator.resume(pending.msg, pending.waiter, traces, conclusive)
         else:
             ctx.coordinator.apply_ruling(
-                AdmissionResult(AdmissionDecision.ADMIT), parked.msg, parked.waiter
+                AdmissionResult(AdmissionDecision.ADMIT), pending.msg, pending.waiter
             )
 
-    def _is_whole(self, question: _Question, row: Shard, msg: Submit) -> bool:
-        """Whether no trace means that nothing started: all could answer, and none forgot."""
+    def _is_conclusive(self, open_query: _OpenQuery, row: Shard, msg: Submit) -> bool:
+        """Return whether an id without traces cannot have started: nothing is lost or forgotten."""
         fleet, skew_ms = self._ctx.fleet, self._ctx.cfg.skew_ms
-        silent = set(question.missing)
-        if fleet.was_never_alone(row, msg.service):
+        silent = set(open_query.unanswered)
+        if fleet.had_other_agent(row, msg.service):
             silent.discard(row.prior)
-        if silent or may_have_forgotten(question.forgotten_ms, msg.submitted_ms, skew_ms):
+        if silent or may_have_forgotten(open_query.forgotten_ms, msg.submitted_ms, skew_ms):
             return False
-        lost_until = fleet.traces_lost_until(row, msg.service)
+        lost_until = fleet.starts_lost_until_ms(row, msg.service)
         if lost_until == 0:
             return True
         return msg.submitted_ms != NO_TIME and msg.submitted_ms > lost_until + 2 * skew_ms
--- a/src/gentianmux/witness.py
+++ b/src/gentianmux/witness.py
@@ -1,4 +1,4 @@
-"""Looks for proof that silent processes have ended, and puts it into the log."""
+"""Confirms that unresponsive processes have ended and evicts them in the log."""
 
 from .errors import LogError
 from .fleet_records import Evict, to_json
@@ -8,70 +8,69 @@
 from .node_context import NodeContext
 from .shard_manager import rendezvous
 
-WITNESSES = 2
-REPEAT_S = 2.0
-LATER_S = 0.3
+WITNESS_COUNT = 2
+EVICT_RETRY_S = 2.0
+EVICT_DELAY_S = 0.3
 PROOF = "connection refused by its host"
 
 
 class Witness:
-    """Dials processes that fell silent; a refused connection proves that the process ended.
+    """Evicts processes whose host refuses connections.
 
-    A paused process still has its connections accepted by its host, so it is never mistaken for
-    an ended one.
+    The host of a paused process still accepts connections, so a paused process is not evicted.
 
     Parameters
     ----------
     ctx : NodeContext
-        The blackboard; this puts itself there as ``witness``.
+        The shared context; this registers itself there as ``witness``.
     """
 
     def __init__(self, ctx: NodeContext) -> None:
         ctx.witness = self
         self._ctx = ctx
-        self._evicted: dict[str, float] = {}
+        self._evict_appended_at: dict[str, float] = {}
 
     def on_change(self, update: MemberUpdate) -> None:
-        """React to a change of what membership thinks of a process."""
-        if update.state in (ProcessState.SUSPECT, ProcessState.DEAD) and self._is_chosen(
+        """Connect to a process that has become suspect or dead."""
+        if update.state in (ProcessState.SUSPECT, ProcessState.DEAD) and self._is_witness_for(
             update.process
         ):
             self._ctx.peers.ensure_connected(update.process)
 
     def on_refused(self, process: str) -> None:
-        """Append that a process has ended: its heirs at once, chosen witnesses a moment later."""
+        """Evict a process that refused a connection: as heir at once, as witness after a delay."""
         ctx = self._ctx
         if process not in ctx.fleet.processes:
             return
         if ctx.is_agent and any(
-            row.owner == process for row, _ in ctx.shard_manager.heir_of.values()
+            row.owner == process for row, _ in ctx.shard_manager.heir_leases.values()
         ):
-            ctx.shard_manager.on_ended(process)
+            ctx.shard_manager.take_over_from(process)
             self._evict(process)
-        elif self._is_chosen(process):
-            ctx.clock.call_later(LATER_S, self._evict, process)
+        elif self._is_witness_for(process):
+            ctx.clock.call_later(EVICT_DELAY_S, self._evict, process)
 
     def _evict(self, process: str) -> None:
         now = self._ctx.now()
         if process not in self._ctx.fleet.processes:
             return
-        if now - self._evicted.get(process, -REPEAT_S) < REPEAT_S:
+        if now - self._evict_appended_at.get(process, -EVICT_RETRY_S) < EVICT_RETRY_S:
             return
-        self._evicted[process] = now
+        self._evict_appended_at[process] = now
         self._ctx.clock.call_soon(self._append, process)
 
     def check_dead(self) -> None:
-        """Look again at dead processes that the log still names."""
+        """Connect again to dead processes that have not been evicted."""
         for process in list(self._ctx.fleet.processes):
-            if self._ctx.membership.state_of(process) is ProcessState.DEAD and self._is_chosen(
+            if self._ctx.membership.state_of(process) is ProcessState.DEAD and self._is_witness_for(
                 process
             ):
                 self._ctx.peers.ensure_connected(process)
 
-    def _is_chosen(self, process: str) -> bool:
+    def _is_witness_for(self, process: str) -> bool:
         live = [each.process for each in self._ctx.membership.alive()]
         number = sum(process.encode())
-        chosen = sorted(live, key=lambda each: rendezvous(number, each))[-WITNESSES:]
+        chosen = sorted(live, key=lambda each: rendezvous(number, each))[-WITNESS_COUNT:]
         return self._ctx.process in chosen
 
     def _append(self, process: str) -> None:
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -1,4 +1,4 @@
-"""Starts a whole standalone node for tests, ready for work."""
+"""Starts a standalone node for tests and waits until it is ready."""
 
 import socket
 from pathlib import Path
--- a/tests/test_walks.py
+++ b/tests/test_fault_walks.py
@@ -1,4 +1,4 @@
-"""Random walks through every fault together, and proof that the checks can fail."""
+"""Random submissions and faults in a simulated fleet, and mutations that must be detected."""
 
 from collections.abc import Callable
 from random import Random
@@ -22,7 +22,7 @@
 
 
 class Faults(RuleBasedStateMachine):
-    """Any order of submissions and faults; nothing starts twice, nothing is guessed."""
+    """Submissions and faults in any order: no task starts twice and no answer is wrong."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -73,7 +73,7 @@
         self.world.run(seconds)
 
     @invariant()
-    def keeps_its_promises(self) -> None:
+    def holds_invariants(self) -> None:
         assert self.world.broken() == []
 
     def teardown(self) -> None:
@@ -93,7 +93,7 @@
 
 
 def walk(seed: int, steps: int = 60) -> World:
-    """A walk that favours what makes take-overs."""
+    """Run random submissions and faults, biased towards those that cause take-overs."""
     rng = Random(seed)
     world = World(agents=4, seed=seed)
     world.run(5)
@@ -130,13 +130,13 @@
             world.start(each)
 
 
-def doubles(seeds: range) -> int:
-    """How many promises are broken over some walks."""
+def count_violations(seeds: range) -> int:
+    """Return the number of violated invariants over the walks of these seeds."""
     return sum(len(walk(seed).broken()) for seed in seeds)
 
 
-def test_walks_break_no_promise() -> None:
-    assert doubles(range(40)) == 0
+def test_walks_violate_no_invariant() -> None:
+    assert count_violations(range(40)) == 0
 
 
 def _always(value: Any) -> Callable[..., Any]:
@@ -160,8 +160,8 @@
 MUTATIONS = {
     "no age rule": (Ledger, "_new_after", _always(0)),
     "no lease": (OwnerLease, "is_valid", _valid_without_lease),
-    "departed agents forgotten": (FleetState, "traces_lost_until", _always(0)),
-    "silent agents ignored": (trace_collector.TraceCollector, "_is_whole", _always(True)),
+    "departed agents forgotten": (FleetState, "starts_lost_until_ms", _always(0)),
+    "silent agents ignored": (trace_collector.TraceCollector, "_is_conclusive", _always(True)),
     "start records ignored": (
         start_records.StartRecords,
         "traces",
@@ -171,15 +171,15 @@
 
 
 @pytest.mark.parametrize("name", MUTATIONS)
-def test_a_rule_taken_away_is_noticed(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Without the rule some walk breaks a promise, so the check can fail."""
+def test_a_removed_rule_is_detected(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Without the rule some walk violates an invariant, so the check can fail."""
     owner, attribute, instead = MUTATIONS[name]
     monkeypatch.setattr(owner, attribute, instead)
     assert any(walk(seed).broken() for seed in range(MUTANT_WALKS))
 
 
-def impatient_heir(seed: int) -> World:
-    """Owner and heir part; the owner's view of the log and one entry's stall."""
+def cut_off_heir(seed: int) -> World:
+    """Cut the owner off from its heir while the owner and one entry cannot read the log."""
     world = World(agents=6, seed=seed)
     world.run(6)
     owner, heir = (name.partition(".")[0] for name in (world.row("a").owner, world.row("a").heir))
@@ -198,17 +198,17 @@
     return world
 
 
-def test_an_heir_that_waits_for_the_lease_is_safe() -> None:
-    assert all(impatient_heir(seed).broken() == [] for seed in range(10))
+def test_an_heir_that_waits_for_the_lease_violates_no_invariant() -> None:
+    assert all(cut_off_heir(seed).broken() == [] for seed in range(10))
 
 
-def test_an_heir_that_does_not_wait_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_heir_that_does_not_wait_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(HeirLease, "may_take_over", _always(True))
-    assert any(impatient_heir(seed).broken() for seed in range(30))
+    assert any(cut_off_heir(seed).broken() for seed in range(30))
 
 
-def overtaken_frame(seed: int) -> World:
-    """An owner's start frame is on its way while it dies and its job is submitted again."""
+def delayed_start_frame(seed: int) -> World:
+    """Kill an owner while its start frame is delayed, and submit its job again."""
     world = World(agents=6, seed=seed)
     world.run(6)
     owner = world.owner("a")
@@ -224,17 +224,17 @@
 
 def test_a_start_frame_overtaken_by_a_trace_query_starts_nothing() -> None:
     for seed in range(10):
-        world = overtaken_frame(seed)
+        world = delayed_start_frame(seed)
         assert world.broken() == []
         assert set(world.names("a")) == {"ok"}
 
 
-def test_a_missing_fence_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_missing_fence_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(start_records.StartRecords, "fence", _always([]))
-    assert any(overtaken_frame(seed).broken() for seed in range(10))
+    assert any(delayed_start_frame(seed).broken() for seed in range(10))
 
 
-def test_a_job_larger_than_its_agents_survives_its_owner() -> None:
+def test_a_job_larger_than_its_agents_completes_after_its_owner_ends() -> None:
     world = World(agents=4, run_s=3.0)
     world.run(6)
     world.submit("a", count=40)
--- a/tests/test_log_watch.py
+++ b/tests/test_follower.py
@@ -1,4 +1,4 @@
-"""Streams: snapshots before retention ends, and starting while the log is down."""
+"""Followers of a stream: snapshots, trimmed records, and records from peers."""
 
 import pytest
 
@@ -15,20 +15,20 @@
     return Change(f"c{number}", number - 1, {f"member/m{number}": {"weight": 1}}, [])
 
 
-def test_a_snapshot_carries_a_stream_over_its_retention() -> None:
+def test_a_trimmed_stream_is_read_from_a_snapshot() -> None:
     log = MemoryLog(retain=30)
     old = Follower(log, "config", ConfigState())
     for number in range(100):
         log.append("config", change(number).to_json())
         old.poll()
         if number % 10 == 9:
-            log.append("config", old.fold.snapshot())
+            log.append("config", old.state.snapshot())
     new = Follower(log, "config", ConfigState())
     new.poll()
     old.poll()
-    assert old.fold.snapshot() == new.fold.snapshot()
-    assert isinstance(new.fold, ConfigState)
-    assert len(new.fold.items) == 100
+    assert old.state.snapshot() == new.state.snapshot()
+    assert isinstance(new.state, ConfigState)
+    assert len(new.state.items) == 100
 
 
 def test_records_between_a_snapshots_state_and_its_offset_are_not_lost() -> None:
@@ -48,7 +48,7 @@
     assert sorted(fresh.items) == [f"member/m{number}" for number in range(4)]
 
 
-def test_without_a_snapshot_a_trimmed_stream_is_an_error_not_a_guess() -> None:
+def test_a_trimmed_stream_without_a_snapshot_is_an_error() -> None:
     log = MemoryLog(retain=2)
     for number in range(5):
         log.append("config", change(number).to_json())
@@ -57,20 +57,20 @@
     assert caught.value.code is ResultCode.LOG_TRIMMED
 
 
-def test_a_peer_hands_on_records_or_its_state_and_never_an_older_one() -> None:
+def test_records_and_snapshots_of_a_peer_apply_only_if_newer() -> None:
     log = MemoryLog()
     for number in range(6):
         log.append("config", change(number).to_json())
     ahead = Follower(log, "config", ConfigState())
     ahead.poll()
     behind = Follower(MemoryLog(), "config", ConfigState())
-    assert behind.take(ahead.records_after(-1) or []) == 6
-    assert behind.fold.snapshot() == ahead.fold.snapshot()
+    assert behind.apply_records(ahead.records_after(-1) or []) == 6
+    assert behind.state.snapshot() == ahead.state.snapshot()
     fresh = Follower(MemoryLog(), "config", ConfigState())
-    assert fresh.take_snapshot(5, ahead.fold.snapshot())
+    assert fresh.install_snapshot(5, ahead.state.snapshot())
     assert fresh.next_offset == 6
-    assert not fresh.take_snapshot(3, ConfigState().snapshot())
-    assert fresh.take((ahead.records_after(2) or [])[1:]) == 0
+    assert not fresh.install_snapshot(3, ConfigState().snapshot())
+    assert fresh.apply_records((ahead.records_after(2) or [])[1:]) == 0
 
 
 def test_a_gap_in_a_peers_records_is_refused() -> None:
@@ -80,7 +80,7 @@
     ahead = Follower(log, "config", ConfigState())
     ahead.poll()
     behind = Follower(MemoryLog(), "config", ConfigState())
-    assert behind.take((ahead.records_after(-1) or [])[2:]) == 0
+    assert behind.apply_records((ahead.records_after(-1) or [])[2:]) == 0
     assert behind.next_offset == 0
 
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger admits an id once, and forgets only into refusals."""
+"""The ledger admits an id at most once; an id that it forgot is refused."""
 
 from gentianmux.codes import ResultCode
 from gentianmux.ids import NO_TIME
@@ -13,8 +13,8 @@
     ledger.admit("m/a", b"d", 100_000)
     assert ledger.check("m/a", b"d", 100_000, 100_001).decision is AdmissionDecision.JOIN
     ledger.finish("m/a", ResultCode.OK, b"answer")
-    ruling = ledger.check("m/a", b"d", 100_000, 100_002)
-    assert (ruling.decision, ruling.answer) == (AdmissionDecision.KEPT, b"answer")
+    result = ledger.check("m/a", b"d", 100_000, 100_002)
+    assert (result.decision, result.answer) == (AdmissionDecision.KEPT, b"answer")
 
 
 def test_an_id_with_another_body_is_refused() -> None:
@@ -23,7 +23,7 @@
     assert ledger.check("m/a", b"other", 100_000, 100_001).code is ResultCode.ID_REUSED
 
 
-def test_what_was_forgotten_is_refused_not_admitted() -> None:
+def test_an_expired_id_is_refused() -> None:
     ledger = Ledger(BOUNDS)
     ledger.admit("m/a", b"d", 100_000)
     ledger.finish("m/a", ResultCode.OK, b"answer")
@@ -32,17 +32,17 @@
     assert ledger.check("m/a", b"d", 100_000, 170_000).code is ResultCode.ID_EXPIRED
 
 
-def test_over_its_bytes_it_drops_answers_then_ids_and_refuses_both() -> None:
+def test_over_its_size_limit_it_drops_answers_then_ids_and_refuses_both() -> None:
     ledger = Ledger(BOUNDS)
     for number in range(30):
         ledger.admit(f"m/{number}", b"d", 100_000 + number)
         ledger.finish(f"m/{number}", ResultCode.OK, b"x" * 100)
     ledger.trim(100_100)
     assert ledger.bytes <= BOUNDS.max_bytes
-    verdicts = {
+    codes = {
         ledger.check(f"m/{number}", b"d", 100_000 + number, 100_200).code for number in range(30)
     }
-    assert verdicts == {ResultCode.ID_EXPIRED, ResultCode.ANSWER_FORGOTTEN}
+    assert codes == {ResultCode.ID_EXPIRED, ResultCode.ANSWER_FORGOTTEN}
 
 
 def test_a_forgotten_id_without_a_time_is_never_admitted_again() -> None:
@@ -58,7 +58,7 @@
     assert ledger.timeless_lost
 
 
-def test_after_a_take_over_only_younger_ids_are_surely_new() -> None:
+def test_after_a_take_over_only_later_ids_are_admitted_without_traces() -> None:
     ledger = Ledger(BOUNDS, taken_over_ms=100_000)
     assert ledger.check("m/a", b"d", 99_000, 100_001).decision is AdmissionDecision.ASK
     assert ledger.check("m/b", b"d", 101_999, 100_001).decision is AdmissionDecision.ASK
@@ -66,16 +66,16 @@
     assert ledger.check("m/d", b"d", NO_TIME, 200_000).decision is AdmissionDecision.ASK
 
 
-def test_a_job_proved_not_to_have_run_is_admitted_again_from_the_next_attempt() -> None:
+def test_a_job_known_not_to_have_run_is_admitted_again_from_the_next_attempt() -> None:
     ledger = Ledger(BOUNDS)
     ledger.admit("m/a", b"d", 100_000)
     ledger.reopen("m/a", attempt=3)
-    ruling = ledger.check("m/a", b"d", 100_000, 100_001)
-    assert (ruling.decision, ruling.attempt) == (AdmissionDecision.ADMIT, 3)
+    result = ledger.check("m/a", b"d", 100_000, 100_001)
+    assert (result.decision, result.attempt) == (AdmissionDecision.ADMIT, 3)
     assert ledger.check("m/a", b"x", 100_000, 100_001).code is ResultCode.ID_REUSED
 
 
-def test_a_planned_move_loses_nothing() -> None:
+def test_an_exported_ledger_keeps_its_answers() -> None:
     ledger = Ledger(BOUNDS)
     ledger.admit("m/a", b"d", 100_000)
     ledger.finish("m/a", ResultCode.OK, b"answer")
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership without I/O: some cores, datagrams by hand, virtual time."""
+"""Failure detection over simulated datagrams in virtual time."""
 
 from random import Random
 
@@ -9,11 +9,11 @@
 from gentianmux.messages import MemberUpdate
 
 TIMING = Timing(probe_s=0.5, suspect_s=1.5)
-MAX_DATAGRAM = 1400
+MAX_DATAGRAM_BYTES = 1400
 
 
 class Net:
-    """Some members that exchange datagrams, some of which are lost."""
+    """Processes that exchange datagrams, some of which are lost."""
 
     def __init__(self, count: int) -> None:
         self.rng = Random(1)
@@ -22,17 +22,19 @@
         self.lost = 0.0
         self.bytes = 0
         self.longest = 0
-        self.cores = {self._address(n): self._core(n) for n in range(count)}
-        for address, core in self.cores.items():
-            self.send(address, [core.greet(self._address(0))])
+        self.views = {self._address(n): self._view(n) for n in range(count)}
+        for address, view in self.views.items():
+            self.send(address, [view.probe_seed(self._address(0))])
 
     def _address(self, number: int) -> str:
         return f"10.0.0.{number}:1"
 
-    def _core(self, number: int) -> Membership:
+    def _view(self, number: int) -> Membership:
         address = self._address(number)
-        me = MemberUpdate(f"w{number}.1", f"w{number}", "agent", address, "", "fd1", ["s"], 8, 0, 0)
-        return Membership(me, TIMING, Random(number))
+        local = MemberUpdate(
+            f"w{number}.1", f"w{number}", "agent", address, "", "fd1", ["s"], 8, 0, 0
+        )
+        return Membership(local, TIMING, Random(number))
 
     def send(self, source: str, outgoing: list[Outgoing]) -> None:
         queue = [(source, each) for each in outgoing]
@@ -43,7 +45,7 @@
             self.longest = max(self.longest, len(data))
             if sender in self.down or each.address in self.down or self.rng.random() < self.lost:
                 continue
-            target = self.cores[each.address]
+            target = self.views[each.address]
             replies = target.receive(each.gossip, sender, self.time)
             queue.extend((each.address, reply) for reply in replies)
 
@@ -51,12 +53,12 @@
         until = self.time + seconds
         while self.time < until:
             self.time += TIMING.probe_s
-            for address, core in self.cores.items():
+            for address, view in self.views.items():
                 if address not in self.down:
-                    self.send(address, core.tick(self.time))
+                    self.send(address, view.tick(self.time))
 
     def states(self, process: str) -> set[ProcessState | None]:
-        return {core.state_of(process) for at, core in self.cores.items() if at not in self.down}
+        return {view.state_of(process) for at, view in self.views.items() if at not in self.down}
 
 
 @pytest.fixture()
@@ -66,8 +68,8 @@
     return net
 
 
-def test_all_learn_of_all_from_one_seed(net: Net) -> None:
-    assert {len(core.alive()) for core in net.cores.values()} == {12}
+def test_every_process_knows_all_others_from_one_seed(net: Net) -> None:
+    assert {len(view.alive()) for view in net.views.values()} == {12}
 
 
 def test_a_silent_process_is_not_chosen_after_three_seconds(net: Net) -> None:
@@ -79,12 +81,12 @@
 
 
 def test_a_leaving_process_is_known_within_two_seconds(net: Net) -> None:
-    net.cores["10.0.0.5:1"].leave()
+    net.views["10.0.0.5:1"].leave()
     net.run(2)
     assert net.states("w5.1") == {ProcessState.LEAVING}
 
 
-def test_a_process_thought_dead_refutes_it_on_coming_back(net: Net) -> None:
+def test_a_process_declared_dead_is_alive_again_after_its_return(net: Net) -> None:
     net.down.add("10.0.0.5:1")
     net.run(8)
     net.down.clear()
@@ -92,15 +94,15 @@
     assert net.states("w5.1") == {ProcessState.ALIVE}
 
 
-def test_lost_datagrams_make_nobody_dead(net: Net) -> None:
+def test_lost_datagrams_make_no_process_dead(net: Net) -> None:
     net.lost = 0.1
     net.run(30)
-    dead = [core for core in net.cores.values() if len(core.alive()) < 11]
+    dead = [view for view in net.views.values() if len(view.alive()) < 11]
     assert dead == []
 
 
-def test_one_cut_off_suspects_itself_and_keeps_its_view(net: Net) -> None:
-    alone = net.cores["10.0.0.5:1"]
+def test_an_isolated_process_keeps_its_view(net: Net) -> None:
+    alone = net.views["10.0.0.5:1"]
     net.down.add("10.0.0.5:1")
     for _ in range(40):
         net.time += TIMING.probe_s
@@ -109,10 +111,10 @@
     assert len(alone.alive()) >= 10
 
 
-def test_work_and_datagrams_are_bounded(net: Net) -> None:
+def test_traffic_and_datagram_size_are_bounded(net: Net) -> None:
     net.bytes = 0
     before = net.time
     net.run(20)
-    a_process_a_second = net.bytes / 12 / (net.time - before)
-    assert a_process_a_second < 2500
-    assert net.longest < 2 * MAX_DATAGRAM
+    bytes_per_process_s = net.bytes / 12 / (net.time - before)
+    assert bytes_per_process_s < 2500
+    assert net.longest < 2 * MAX_DATAGRAM_BYTES
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Members' shares: claims, limits, fair queueing, ejection; pure parts, then on fakes."""
+"""Members' shares: claims, rate limits, fair queueing and ejection of failing agents."""
 
 from collections import Counter
 from random import Random
@@ -15,7 +15,7 @@
 from gentianmux.errors import GentianmuxError
 from gentianmux.fair_queue import FairQueue
 from gentianmux.limits import MemberLimits
-from gentianmux.member_claims import SETTLE_S, Claims, split_claim
+from gentianmux.member_claims import TRANSITION_S, MemberClaims, split_claim
 from gentianmux.messages import Task
 from gentianmux.platform_log import Record
 from gentianmux.routing import Candidate, choose_agents, choose_reservations
@@ -33,20 +33,20 @@
 @given(
     st.floats(0, 1), st.dictionaries(st.text("abc", min_size=1), st.integers(0, 64), max_size=30)
 )
-def test_parts_never_exceed_the_claim(claim: float, slots: dict[str, int]) -> None:
+def test_slot_limits_never_exceed_the_claim(claim: float, slots: dict[str, int]) -> None:
     parts = split_claim(claim, slots)
     assert sum(parts.values()) <= claim * sum(slots.values()) + 0.001 * sum(slots.values())
     assert all(0 <= parts[worker] <= slots[worker] for worker in slots)
 
 
-def test_while_a_change_spreads_each_worker_keeps_to_the_lower_part() -> None:
+def test_while_a_change_propagates_each_worker_applies_the_lower_limit() -> None:
     state = ConfigState()
     put(state, 0, {**WORKERS, "member/m": {"claim": 0.5}})
-    claims = Claims(state)
+    claims = MemberClaims(state)
     assert claims.slot_limit("m", "a0", 0.0) == 4
     put(state, 1, {"member/m": {"claim": 0.75}})
     assert claims.slot_limit("m", "a0", 1.0) == 4
-    assert claims.slot_limit("m", "a0", 1.0 + SETTLE_S) == 6
+    assert claims.slot_limit("m", "a0", 1.0 + TRANSITION_S) == 6
     assert claims.slot_limit("other", "a0", 1.0) is None
 
 
@@ -77,7 +77,7 @@
     assert 100 <= taken <= 111
 
 
-def test_a_burst_waits_in_its_own_line() -> None:
+def test_a_burst_waits_in_its_own_queue() -> None:
     queue = FairQueue[int](lambda member: 2 if member == "heavy" else 1)
     for number in range(300):
         queue.push("burst", number, 1.0)
@@ -97,13 +97,13 @@
     assert sum(reserved.values()) <= max(3, count)
 
 
-class Sick(World):
-    """A world with an agent that fails everything at once."""
+class FailingAgentWorld(World):
+    """A world in which the tasks of one agent end at once."""
 
-    sick = "a0"
+    failing = "a0"
 
     def run_time(self, name: str, task: Task) -> float:
-        return 0.001 if name == self.sick else 0.3
+        return 0.001 if name == self.failing else 0.3
 
 
 def _fail_everything(world: World, name: str) -> None:
@@ -117,7 +117,7 @@
 def _failures(eject: bool, monkeypatch: pytest.MonkeyPatch) -> float:
     if not eject:
         monkeypatch.setattr("gentianmux.routing.FAILURES_TO_EJECT", 10**9)
-    world = Sick(agents=6, cfg=SETTINGS._replace(shards=8))
+    world = FailingAgentWorld(agents=6, cfg=SETTINGS._replace(shards=8))
     world.run(6)
     _fail_everything(world, "a0")
     for number in range(400):
@@ -128,8 +128,8 @@
     return names["job_failed"] / 400
 
 
-def test_a_worker_that_fails_everything_is_left_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It looks idle and draws work; without ejection it fails more than three times as many."""
+def test_an_agent_that_fails_everything_is_ejected(monkeypatch: pytest.MonkeyPatch) -> None:
+    """It looks idle and attracts work; without ejection it fails over three times as many jobs."""
     with_ejection = _failures(True, monkeypatch)
     without = _failures(False, monkeypatch)
     assert with_ejection < 0.12
--- a/tests/test_start_records.py
+++ b/tests/test_start_records.py
@@ -1,4 +1,4 @@
-"""Start records: one start a task, and refusals that stay proofs."""
+"""Start records: a task starts at most once, and a refused task never starts."""
 
 from gentianmux.codes import ResultCode
 from gentianmux.messages import StartBatch, Task, TaskResult
@@ -10,17 +10,17 @@
     return StartBatch("m/a", 1, epoch, "m", "s", -1, -1, False, 0, 0, tasks)
 
 
-def offer(records: StartRecords, msg: StartBatch, sender: str = "w1.1") -> list[int]:
+def accept(records: StartRecords, msg: StartBatch, sender: str = "w1.1") -> list[int]:
     return [each.task.number for each in records.accept_batch(msg, sender, 0.0, 0).queued]
 
 
-def test_a_repeated_frame_queues_nothing_again() -> None:
+def test_a_repeated_batch_queues_nothing() -> None:
     records = StartRecords(1000)
-    assert offer(records, batch()) == [0]
-    assert offer(records, batch()) == []
+    assert accept(records, batch()) == [0]
+    assert accept(records, batch()) == []
 
 
-def test_a_started_task_cannot_be_taken_back() -> None:
+def test_a_started_task_cannot_be_revoked() -> None:
     records = StartRecords(1000)
     job, queued, _ = records.accept_batch(batch(), "w1.1", 0.0, 0)
     assert job is not None
@@ -29,21 +29,21 @@
     assert [each.state for each in records.revoke("m/a")] == [TaskState.STARTED]
 
 
-def test_a_task_taken_back_does_not_start() -> None:
+def test_a_revoked_task_does_not_start() -> None:
     records = StartRecords(1000)
     job, queued, _ = records.accept_batch(batch(), "w1.1", 0.0, 0)
     assert job is not None
     records.revoke("m/a")
     assert not records.begin(job, queued[0], 0.0)
-    assert offer(records, batch()) == []
+    assert accept(records, batch()) == []
     assert job.unsent[-1].code == ResultCode.CANCELLED
 
 
 def test_a_later_attempt_may_start_after_a_refusal() -> None:
     records = StartRecords(1000)
-    offer(records, batch())
+    accept(records, batch())
     records.revoke("m/a")
-    assert offer(records, batch(attempt=1)) == [0]
+    assert accept(records, batch(attempt=1)) == [0]
 
 
 def test_an_older_epoch_is_refused_after_a_fence() -> None:
@@ -51,10 +51,10 @@
     records.fence(1, 9)
     refused = records.accept_batch(batch(epoch=5), "w1.1", 0.0, 0).refused
     assert [each.code for each in refused] == [ResultCode.STALE_EPOCH]
-    assert offer(records, batch(epoch=9)) == [0]
+    assert accept(records, batch(epoch=9)) == [0]
 
 
-def test_a_fence_gives_back_what_older_epochs_have_queued() -> None:
+def test_a_fence_refuses_queued_tasks_of_older_epochs() -> None:
     records = StartRecords(1000)
     job, queued, _ = records.accept_batch(batch(epoch=5), "w1.1", 0.0, 0)
     assert job is not None
@@ -63,7 +63,7 @@
     assert records.traces(["m/a"]) == []
 
 
-def test_traces_name_what_runs_and_what_ended() -> None:
+def test_traces_hold_running_and_ended_tasks() -> None:
     records = StartRecords(1000)
     job, queued, _ = records.accept_batch(batch(numbers=(0, 1, 2)), "w1.1", 0.0, 0)
     assert job is not None
@@ -76,7 +76,7 @@
     assert (trace.running, trace.results) == ([1], [result])
 
 
-def test_what_is_forgotten_is_admitted_to() -> None:
+def test_trimming_notes_up_to_when_starts_are_forgotten() -> None:
     records = StartRecords(1000)
     job, queued, _ = records.accept_batch(batch(), "w1.1", 0.0, now_ms=5_000)
     assert job is not None
@@ -99,4 +99,4 @@
     staying.load(leaving.export(), leaving.forgotten_ms, 0.0)
     (trace,) = staying.traces(["m/a"])
     assert (trace.running, trace.results) == ([], [result])
-    assert offer(staying, batch(epoch=9, numbers=(0, 1))) == [1]
+    assert accept(staying, batch(epoch=9, numbers=(0, 1))) == [1]
