--- a/bench/leased_world.py
+++ b/bench/leased_world.py
@@ -251,7 +251,7 @@
         for machine in self.machines.values():
             # As announced in the store.
             cpu = machine.endpoint.capacity.cpu
-            view.expect(machine.name, "s", machine.domain, cpu, self.time)
+            view.expect_agent(machine.name, "s", machine.domain, cpu, self.time)
         self.alive.add(me.process)
         self.every(STEP_S, me.process, entry.step)
         self.every(LOSS_CHECK_S, me.process, entry.check_losses)
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -41,10 +41,10 @@
 )
 from .payloads import unpack
 from .resources import Resources
+from .run_monitor import RunWatch
 from .run_starter import RunStarts
-from .run_stops import RunStops
+from .run_stopper import RunStops
 from .run_table import Finished, RunTable
-from .run_watch import RunWatch
 from .settings import LeasedSettings
 
 MAINTENANCE_INTERVAL_S = REPORT_INTERVAL_S / 2
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -157,7 +157,7 @@
     def _(self, msg: AgentLoad, agent: str) -> None:
         view = self._ctx.view.get_or_add(agent)
         now = self._ctx.clock.now()
-        view.take_load(msg, now)
+        view.apply_report(msg, now)
         self._ctx.window.told(agent, msg.applied, now)
         self._config_transfer.on_version(agent, msg.config_version)
         if view.free.cpu > 0:
@@ -172,7 +172,7 @@
         view = self._ctx.view.get_or_add(agent)
         before = view.state
         view.state = msg
-        view.heard_at = self._ctx.clock.now()
+        view.last_heard_at = self._ctx.clock.now()
         if before != msg:
             logger.bind(
                 peer=agent, endpoint=msg.incarnation, accepting=msg.accepting, service=msg.service
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -115,7 +115,7 @@
         if chosen and not began:
             self._admissions[job.queue.service].begins(job, now)
         if chosen:
-            oldest = min(self._ctx.view.get_or_add(process).heard_at for process in chosen)
+            oldest = min(self._ctx.view.get_or_add(process).last_heard_at for process in chosen)
             logger.bind(
                 job=job.spec.job_id,
                 agents=dict(chosen),
--- a/src/gentianmux/leased/process.py
+++ b/src/gentianmux/leased/process.py
@@ -191,7 +191,7 @@
         if preferred and found.report is not None:
             report = found.report
             cpu, domain = report.capacity.cpu, report.failure_domain
-            view.expect(found.name, report.service, domain, cpu, base.clock.now())
+            view.expect_agent(found.name, report.service, domain, cpu, base.clock.now())
 
     directory.on_found = take
     base.links.start()
--- a/src/gentianmux/start_records.py
+++ b/src/gentianmux/start_records.py
@@ -88,10 +88,10 @@
     --------
     >>> records = StartRecords(keep_ms=60_000)
     >>> batch = StartBatch("m/a", 0, 5, "m", "s", -1, -1, False, 0, 0, [Task(0, 0, "", 0)])
-    >>> accept_batch = records.accept_batch(batch, "w1.1", now=0.0, now_ms=0)
-    >>> records.begin(accept_batch.job, accept_batch.queued[0], 0.0)
+    >>> offer = records.offer(batch, "w1.1", now=0.0, now_ms=0)
+    >>> records.begin(offer.job, offer.queued[0], 0.0)
     True
-    >>> records.accept_batch(batch, "w1.1", now=0.0, now_ms=0).queued
+    >>> records.offer(batch, "w1.1", now=0.0, now_ms=0).queued
     []
     """
 
@@ -101,9 +101,7 @@
         self.jobs: dict[str, JobRecord] = {}
         self.fences: dict[int, int] = {}
 
-    def accept_batch(
-        self, batch: StartBatch, coordinator: str, now: float, now_ms: int
-    ) -> AcceptedBatch:
+    def offer(self, batch: StartBatch, coordinator: str, now: float, now_ms: int) -> AcceptedBatch:
         """Queue the new tasks of a batch; results of ended tasks are added to the unsent ones."""
         if batch.epoch < self.fences.get(batch.shard, -1):
             refused = [_not_run(task, ResultCode.STALE_EPOCH) for task in batch.tasks]
--- a/src/gentianmux/trace_collector.py
+++ b/src/gentianmux/trace_collector.py
@@ -55,7 +55,7 @@
             pending.append(_PendingSubmission(msg, waiter))
             return
         if len(self._pending) >= MAX_PENDING:
-            self._ctx.coordinator.apply_ruling(
+            self._ctx.coordinator.apply_admission(
                 AdmissionResult(AdmissionDecision.REFUSE, ResultCode.TRACES_PENDING), msg, waiter
             )
             return
@@ -118,11 +118,11 @@
             refusal = ResultCode.OUTCOME_UNKNOWN
         if refusal is not None:
             ruling = AdmissionResult(AdmissionDecision.REFUSE, refusal)
-            ctx.coordinator.apply_ruling(ruling, pending.msg, pending.waiter)
+            ctx.coordinator.apply_admission(ruling, pending.msg, pending.waiter)
         elif traces:
-            ctx.coordinator.resume(pending.msg, pending.waiter, traces, conclusive)
+            ctx.coordinator.resume_job(pending.msg, pending.waiter, traces, conclusive)
         else:
-            ctx.coordinator.apply_ruling(
+            ctx.coordinator.apply_admission(
                 AdmissionResult(AdmissionDecision.ADMIT), pending.msg, pending.waiter
             )
 
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -24,7 +24,7 @@
 from gentianmux.leased.fleet_view import LOOKED_AT, FleetView, PlacementRequest
 from gentianmux.leased.job_state import JobState, Phase, Timeliness
 from gentianmux.leased.model import JobSpec, QueueConfig, RunOutcome, StepSpec
-from gentianmux.leased.progress import STALL_S, Progress
+from gentianmux.leased.progress import STALL_S, RunProgress
 from gentianmux.leased.resources import ResourcePool, Resources
 from gentianmux.leased.settings import LeasedSettings, lease_s
 from gentianmux.messages import AgentLoad, EndpointState
@@ -101,12 +101,12 @@
 
 
 def test_a_run_stalls_only_when_its_progress_stands_still() -> None:
-    progress = Progress(0.0)
+    progress = RunProgress(0.0)
     for step in range(1, 20):
         progress = progress.seen(step, step * 0.1)
         assert not progress.is_stalled(step * 0.1 + 0.1)
     assert progress.is_stalled(1.9 + STALL_S + 0.01)
-    assert progress.heading_for_ms(1.9) == pytest.approx(10_000, rel=0.01)
+    assert progress.projected_ms(1.9) == pytest.approx(10_000, rel=0.01)
 
 
 # The fleet
@@ -118,7 +118,7 @@
         agent = view.get_or_add(f"{name}.1")
         agent.state = EndpointState(f"{name}-x", "s", "fd1", 16000, 999, 0, ["a"], True)
         load = AgentLoad(1, 0, cpu, 999, 0, (slowness or {}).get(name, 100), 1, 1, 9000)
-        agent.take_load(load, now)
+        agent.apply_report(load, now)
     return view
 
 
@@ -139,7 +139,7 @@
     agent = view.get_or_add("a.1")
     agent.reserve(1, Resources(1600, 64))
     assert view.choose(PlacementRequest("s", Resources(1600, 64)), view.eligible("s", 1.0)) is None
-    agent.take_load(AgentLoad(2, 1, 3000, 999, 0, 100, 1, 1, 9000), 1.1)
+    agent.apply_report(AgentLoad(2, 1, 3000, 999, 0, 100, 1, 1, 9000), 1.1)
     assert view.choose(PlacementRequest("s", Resources(1600, 64)), view.eligible("s", 1.1)) is agent
 
 
@@ -319,15 +319,15 @@
 def test_announced_agents_count_as_capacity_until_they_are_heard_of_or_long_overdue() -> None:
     view = FleetView(0.55, Random(1))
     for node in ("w1", "w2"):
-        view.expect(node, "s", "fd1", 16000, 10.0)
-    view.expect("w3", "other", "fd1", 16000, 10.0)
+        view.expect_agent(node, "s", "fd1", 16000, 10.0)
+    view.expect_agent("w3", "other", "fd1", 16000, 10.0)
     assert view.capacity_cpu("s", 10.1) == 32.0
     agent = view.get_or_add("w1.5")
     agent.state = EndpointState("x", "s", "fd", 16000, 1000, 0, [], True)
-    agent.take_load(AgentLoad(1, 0, 100, 10, 0, 100, 1, 1, 9000), 10.2)
+    agent.apply_report(AgentLoad(1, 0, 100, 10, 0, 100, 1, 1, 9000), 10.2)
     assert view.capacity_cpu("s", 10.3) == 32.0
     assert view.capacity_cpu("other", 10.3) == 16.0
-    agent.take_load(AgentLoad(2, 0, 100, 10, 0, 100, 1, 1, 9000), 12.0)
+    agent.apply_report(AgentLoad(2, 0, 100, 10, 0, 100, 1, 1, 9000), 12.0)
     assert view.capacity_cpu("s", 12.1) == 16.0
 
 
@@ -335,7 +335,7 @@
     view = FleetView(0.55, Random(1))
     agent = view.get_or_add("w1.5")
     agent.state = EndpointState("x", "s", "fd", 16000, 1000, 0, [], True)
-    agent.take_load(AgentLoad(1, 0, 16000, 1000, 0, 100, 1, 1, 400), 10.0)
+    agent.apply_report(AgentLoad(1, 0, 16000, 1000, 0, 100, 1, 1, 400), 10.0)
     request = PlacementRequest("s", Resources(1600, 64), estimate_ms=400)
     assert view.choose(request, view.eligible("s", 10.0)) is agent
     assert view.choose(request._replace(estimate_ms=401), view.eligible("s", 10.0)) is None
