--- a/src/gentianmux/shard_manager.py
+++ b/src/gentianmux/shard_manager.py
@@ -188,7 +188,7 @@
             self.moves.rebalance()
 
     def _renew(self, fresh_only: bool = False) -> None:
-        """Request renewals; ``fresh_only`` skips shards already requested under their newest record."""
+        """Request renewals; ``fresh_only`` skips those requested under the newest record."""
         by_heir: dict[str, list[ShardLease]] = defaultdict(list)
         for number, owned in self.owned.items():
             row = self._ctx.fleet.shards[number]
--- a/src/gentianmux/start_records.py
+++ b/src/gentianmux/start_records.py
@@ -164,7 +164,7 @@
         return [each for each in job.tasks.values() if each.state is TaskState.STARTED]
 
     def fence(self, shard: int, epoch: int) -> list[JobRecord]:
-        """Refuse older epochs of a shard from now on, and return the jobs whose tasks were refused."""
+        """Refuse older epochs of a shard from now on; return the jobs with refused tasks."""
         if epoch <= self.fences.get(shard, -1):
             return []
         self.fences[shard] = epoch
@@ -206,7 +206,7 @@
                     record.state, record.result = TaskState.DONE, result
 
     def trim(self, now_ms: int) -> None:
-        """Remove ended jobs older than the retention, and record up to when starts are forgotten."""
+        """Remove expired jobs, and note up to when starts may be forgotten."""
         limit = now_ms - self._keep_ms
         old = [key for key, job in self.jobs.items() if not job.open_count and job.seen_ms < limit]
         for key in old:
