--- a/src/gentianmux/node_context.py
+++ b/src/gentianmux/node_context.py
@@ -57,13 +57,13 @@
     placement: "Placement"
 
     def __init__(
-        self, cfg: Settings, me: Join, log: PlatformLog, clock: Clock | None = None
+        self, cfg: Settings, identity: Join, log: PlatformLog, clock: Clock | None = None
     ) -> None:
         self.cfg = cfg
         self.clock = clock or Clock()
-        self.identity = me
+        self.identity = identity
         self.log = log
-        self.rng = Random(me.process)
+        self.rng = Random(identity.process)
         self.config = ConfigState()
         self.fleet = FleetState(cfg.shards)
         self.metrics = Metrics(cfg)
@@ -71,7 +71,7 @@
         self.draining = False
         self.read_requested = Event()
         timing = Timing(cfg.probe_ms / 1000, cfg.suspect_ms / 1000)
-        self.membership = Membership(to_member_update(me), timing, Random(f"gossip {me.process}"))
+        self.membership = Membership(to_member_update(identity), timing, Random(f"gossip {identity.process}"))
 
     @property
     def process(self) -> str:
--- a/src/gentianmux/shard_moves.py
+++ b/src/gentianmux/shard_moves.py
@@ -68,8 +68,8 @@
         for number in list(self._shard_manager.owned):
             if moving >= MAX_CONCURRENT_MOVES:
                 return
-            best = self._shard_manager.preferred_agent(number, agents)
-            if best not in (self._ctx.process, NO_PROCESS) and self._begin_move(number, best):
+            preferred_agent = self._shard_manager.preferred_agent(number, agents)
+            if preferred_agent not in (self._ctx.process, NO_PROCESS) and self._begin_move(number, preferred_agent):
                 moving += 1
 
     def _begin_move(self, number: int, target: str) -> bool:
--- a/tests/test_start_records.py
+++ b/tests/test_start_records.py
@@ -10,14 +10,14 @@
     return StartBatch("m/a", 1, epoch, "m", "s", -1, -1, False, 0, 0, tasks)
 
 
-def accept(records: StartRecords, msg: StartBatch, sender: str = "w1.1") -> list[int]:
+def offer(records: StartRecords, msg: StartBatch, sender: str = "w1.1") -> list[int]:
     return [each.task.number for each in records.offer(msg, sender, 0.0, 0).queued]
 
 
 def test_a_repeated_batch_queues_nothing() -> None:
     records = StartRecords(1000)
-    assert accept(records, batch()) == [0]
-    assert accept(records, batch()) == []
+    assert offer(records, batch()) == [0]
+    assert offer(records, batch()) == []
 
 
 def test_a_started_task_cannot_be_revoked() -> None:
@@ -35,15 +35,15 @@
     assert job is not None
     records.revoke("m/a")
     assert not records.begin(job, queued[0], 0.0)
-    assert accept(records, batch()) == []
+    assert offer(records, batch()) == []
     assert job.unsent[-1].code == ResultCode.CANCELLED
 
 
 def test_a_later_attempt_may_start_after_a_refusal() -> None:
     records = StartRecords(1000)
-    accept(records, batch())
+    offer(records, batch())
     records.revoke("m/a")
-    assert accept(records, batch(attempt=1)) == [0]
+    assert offer(records, batch(attempt=1)) == [0]
 
 
 def test_an_older_epoch_is_refused_after_a_fence() -> None:
@@ -51,7 +51,7 @@
     records.fence(1, 9)
     refused = records.offer(batch(epoch=5), "w1.1", 0.0, 0).refused
     assert [each.code for each in refused] == [ResultCode.STALE_EPOCH]
-    assert accept(records, batch(epoch=9)) == [0]
+    assert offer(records, batch(epoch=9)) == [0]
 
 
 def test_a_fence_refuses_queued_tasks_of_older_epochs() -> None:
@@ -99,4 +99,4 @@
     staying.load(leaving.export(), leaving.forgotten_ms, 0.0)
     (trace,) = staying.traces(["m/a"])
     assert (trace.running, trace.results) == ([], [result])
-    assert accept(staying, batch(epoch=9, numbers=(0, 1))) == [1]
+    assert offer(staying, batch(epoch=9, numbers=(0, 1))) == [1]
