--- a/src/gentianmux/start_records.py
+++ b/src/gentianmux/start_records.py
@@ -21,14 +21,14 @@
 class TaskRecord:
     """One task: its newest attempt, its state, and its result if any."""
 
-    __slots__ = ("attempt", "epoch", "result", "state", "state_since", "task")
+    __slots__ = ("attempt", "epoch", "result", "since", "state", "task")
 
     def __init__(self, task: Task, epoch: int, now: float) -> None:
         self.task = task
         self.epoch = epoch
         self.attempt = task.attempt
         self.state = TaskState.QUEUED
-        self.state_since = now
+        self.since = now
         self.result: TaskResult | None = None
 
 
@@ -42,7 +42,7 @@
         "epoch",
         "key",
         "member",
-        "open_count",
+        "open",
         "seen_ms",
         "service",
         "shard",
@@ -62,7 +62,7 @@
         self.seen_ms = now_ms
         self.tasks: dict[int, TaskRecord] = {}
         self.unsent: list[TaskResult] = []
-        self.open_count = 0
+        self.open = 0
 
 
 class AcceptedBatch(NamedTuple):
@@ -124,7 +124,7 @@
         if record is None or _may_retry(record, job.epoch, task.attempt):
             record = TaskRecord(task, job.epoch, now)
             job.tasks[task.number] = record
-            job.open_count += 1
+            job.open += 1
             yield record
         elif record.result is not None:
             job.unsent.append(record.result)
@@ -134,7 +134,7 @@
         if record.state is not TaskState.QUEUED:
             return False
         record.state = TaskState.STARTED
-        record.state_since = now
+        record.since = now
         return True
 
     def finish(self, job: JobRecord, record: TaskRecord, result: TaskResult) -> None:
@@ -142,7 +142,7 @@
         record.state = TaskState.DONE
         record.result = result
         job.unsent.append(result)
-        job.open_count -= 1
+        job.open -= 1
 
     def refuse(self, job: JobRecord, record: TaskRecord, code: ResultCode) -> bool:
         """Refuse a queued task; return False if it is not queued any more."""
@@ -151,7 +151,7 @@
         record.state = TaskState.REFUSED
         record.result = _not_run(record.task, code)
         job.unsent.append(record.result)
-        job.open_count -= 1
+        job.open -= 1
         return True
 
     def revoke(self, key: str) -> list[TaskRecord]:
@@ -171,7 +171,7 @@
         affected = [
             job
             for job in self.jobs.values()
-            if job.shard == shard and job.epoch < epoch and job.open_count
+            if job.shard == shard and job.epoch < epoch and job.open
         ]
         for job in affected:
             for record in job.tasks.values():
@@ -208,7 +208,7 @@
     def trim(self, now_ms: int) -> None:
         """Remove expired jobs, and note up to when starts may be forgotten."""
         limit = now_ms - self._keep_ms
-        old = [key for key, job in self.jobs.items() if not job.open_count and job.seen_ms < limit]
+        old = [key for key, job in self.jobs.items() if not job.open and job.seen_ms < limit]
         for key in old:
             self.forgotten_ms = max(self.forgotten_ms, self.jobs[key].seen_ms + 1)
             del self.jobs[key]
