--- a/src/gentianmux/publish.py
+++ b/src/gentianmux/publish.py
@@ -44,33 +44,33 @@
         The outcome; ``CHANGE_UNKNOWN`` if it could not be read back.
     """
     follower = Follower(log, STREAM, ConfigState())
-    state = follower.state
-    assert isinstance(state, ConfigState)
+    config = follower.state
+    assert isinstance(config, ConfigState)
     for attempt in range(attempts):
         if attempt:
             pause()
-        found = _try_publish(log, change, follower, state)
+        found = _try_publish(log, change, follower, config)
         if found is not None:
             return found
     return PublishResult(ResultCode.CHANGE_UNKNOWN, -1, [])
 
 
 def _try_publish(
-    log: PlatformLog, change: Change, follower: Follower, state: ConfigState
+    log: PlatformLog, change: Change, follower: Follower, config: ConfigState
 ) -> PublishResult | None:
     try:
         follower.poll()
-        if change.change_id not in state.outcomes:
+        if change.change_id not in config.outcomes:
             log.append(STREAM, change.to_json())
             follower.poll()
     except LogError:
         return None
-    outcome = state.outcomes.get(change.change_id)
+    outcome = config.outcomes.get(change.change_id)
     return None if outcome is None else PublishResult(outcome.code, outcome.offset, outcome.faults)
 
 
 def read_config(log: PlatformLog) -> ConfigState:
     """Read the current configuration from the log."""
-    state = ConfigState()
-    Follower(log, STREAM, state).poll()
-    return state
+    config = ConfigState()
+    Follower(log, STREAM, config).poll()
+    return config
--- a/src/gentianmux/trace_collector.py
+++ b/src/gentianmux/trace_collector.py
@@ -22,7 +22,7 @@
     waiter: Waiter
 
 
-class _OpenQuery:
+class _Question:
     def __init__(self, shard: int, epoch: int, asked: list[str]) -> None:
         self.shard = shard
         self.epoch = epoch
@@ -44,7 +44,7 @@
     def __init__(self, ctx: NodeContext) -> None:
         self._ctx = ctx
         self._batches: dict[int, dict[str, list[_PendingSubmission]]] = {}
-        self._open_queries: dict[int, _OpenQuery] = {}
+        self._questions: dict[int, _Question] = {}
         self._pending: dict[str, list[_PendingSubmission]] = {}
         self._last_number = 0
 
@@ -73,52 +73,52 @@
         agents = sorted(
             join.process for join in ctx.fleet.processes.values() if join.role != "entry"
         )
-        open_query = _OpenQuery(shard, ctx.fleet.shards[shard].epoch, agents)
-        open_query.pending = batch
+        question = _Question(shard, ctx.fleet.shards[shard].epoch, agents)
+        question.pending = batch
         self._last_number += 1
         number = self._last_number
-        self._open_queries[number] = open_query
-        query = TraceQuery(number, shard, open_query.epoch, list(batch))
+        self._questions[number] = question
+        query = TraceQuery(number, shard, question.epoch, list(batch))
         for agent in agents:
             ctx.peers.send(agent, query)
         ctx.clock.call_later(REPLY_TIMEOUT_S, self._decide, number)
 
     def on_reply(self, reply: TraceReply) -> None:
         """Handle one agent's reply; decide when no other agent has to be waited for."""
-        open_query = self._open_queries.get(reply.query)
-        if open_query is None or reply.process not in open_query.unanswered:
+        question = self._questions.get(reply.query)
+        if question is None or reply.process not in question.unanswered:
             return
-        open_query.unanswered.discard(reply.process)
-        open_query.forgotten_ms = max(open_query.forgotten_ms, reply.forgotten_ms)
+        question.unanswered.discard(reply.process)
+        question.forgotten_ms = max(question.forgotten_ms, reply.forgotten_ms)
         for trace in reply.traces:
-            open_query.found[trace.key][reply.process] = trace
-        if open_query.unanswered <= {self._ctx.fleet.shards[open_query.shard].prior}:
+            question.found[trace.key][reply.process] = trace
+        if question.unanswered <= {self._ctx.fleet.shards[question.shard].prior}:
             self._decide(reply.query)
 
     def _decide(self, number: int) -> None:
-        open_query = self._open_queries.pop(number, None)
-        if open_query is None:
+        question = self._questions.pop(number, None)
+        if question is None:
             return
-        for key, submissions in open_query.pending.items():
+        for key, submissions in question.pending.items():
             self._pending.pop(key, None)
             first, *others = submissions
-            self._decide_one(open_query, key, first)
+            self._decide_one(question, key, first)
             for each in others:
                 self._ctx.coordinator.on_submit(each.msg, each.waiter)
 
-    def _decide_one(self, open_query: _OpenQuery, key: str, pending: _PendingSubmission) -> None:
+    def _decide_one(self, question: _Question, key: str, pending: _PendingSubmission) -> None:
         ctx = self._ctx
-        row = ctx.fleet.shards[open_query.shard]
-        refusal = ctx.shard_manager.refusal(open_query.shard)
-        if refusal is None and row.epoch != open_query.epoch:
+        row = ctx.fleet.shards[question.shard]
+        refusal = ctx.shard_manager.refusal(question.shard)
+        if refusal is None and row.epoch != question.epoch:
             refusal = ResultCode.NOT_OWNER
-        conclusive = self._is_conclusive(open_query, row, pending.msg)
-        traces = open_query.found.get(key, {})
+        conclusive = self._is_conclusive(question, row, pending.msg)
+        traces = question.found.get(key, {})
         if refusal is None and not traces and not conclusive:
             refusal = ResultCode.OUTCOME_UNKNOWN
         if refusal is not None:
-            ruling = AdmissionResult(AdmissionDecision.REFUSE, refusal)
-            ctx.coordinator.apply_admission(ruling, pending.msg, pending.waiter)
+            result = AdmissionResult(AdmissionDecision.REFUSE, refusal)
+            ctx.coordinator.apply_admission(result, pending.msg, pending.waiter)
         elif traces:
             ctx.coordinator.resume_job(pending.msg, pending.waiter, traces, conclusive)
         else:
@@ -126,13 +126,13 @@
                 AdmissionResult(AdmissionDecision.ADMIT), pending.msg, pending.waiter
             )
 
-    def _is_conclusive(self, open_query: _OpenQuery, row: Shard, msg: Submit) -> bool:
+    def _is_conclusive(self, question: _Question, row: Shard, msg: Submit) -> bool:
         """Return whether an id without traces cannot have started: nothing is lost or forgotten."""
         fleet, skew_ms = self._ctx.fleet, self._ctx.cfg.skew_ms
-        silent = set(open_query.unanswered)
+        silent = set(question.unanswered)
         if fleet.had_other_agent(row, msg.service):
             silent.discard(row.prior)
-        if silent or may_have_forgotten(open_query.forgotten_ms, msg.submitted_ms, skew_ms):
+        if silent or may_have_forgotten(question.forgotten_ms, msg.submitted_ms, skew_ms):
             return False
         lost_until = fleet.starts_lost_until_ms(row, msg.service)
         if lost_until == 0:
