--- a/src/gentianmux/fleet_state.py
+++ b/src/gentianmux/fleet_state.py
@@ -140,7 +140,11 @@
         )
 
     def starts_lost_until_ms(self, row: Shard, service: str) -> int:
-        """Return the Unix time in ms up to which records of starts of a shard may be lost."""
+        """Return the Unix time in ms up to which records of starts of a shard may be lost.
+
+        A process that ended may have started tasks of the shard until then, and no other
+        process can tell.
+        """
         others = [at for process, at in self.departures.items() if process != row.prior]
         own = self.departures.get(row.prior, 0)
         if self.had_other_agent(row, service):
@@ -201,10 +205,10 @@
 @_apply.register
 def _(record: Claim, state: FleetState, offset: int) -> None:
     # An owner confirmed to have ended admits nothing, so there is no lease to wait for.
-    def ownerless(row: Shard) -> bool:
+    def unowned(row: Shard) -> bool:
         return state.is_gone(row.owner) and not state.is_gone(record.by)
 
-    _change_owner(record, state, offset, ownerless)
+    _change_owner(record, state, offset, unowned)
 
 
 @_apply.register
--- a/src/gentianmux/lease.py
+++ b/src/gentianmux/lease.py
@@ -38,15 +38,15 @@
     def __init__(self, times: LeaseTimes, process: str) -> None:
         self._times = times
         self._process = process
-        self._base = -1
+        self._granted_base = -1
         self._sent = float("-inf")
         self._frozen_base: int | None = None
 
     def on_grant(self, base: int, sent: float) -> None:
         """Record the heir's grant for the record at ``base``."""
-        if base > self._base:
-            self._base, self._sent = base, sent
-        elif base == self._base:
+        if base > self._granted_base:
+            self._granted_base, self._sent = base, sent
+        elif base == self._granted_base:
             self._sent = max(self._sent, sent)
 
     def freeze(self, base: int) -> None:
@@ -67,9 +67,9 @@
             return False
         if row.heir == NO_PROCESS:
             return True
-        return row.base == self._base and now < self._until()
+        return row.base == self._granted_base and now < self._expires_at()
 
-    def _until(self) -> float:
+    def _expires_at(self) -> float:
         return self._sent + self._times.lease_s - self._times.drift_s
 
 
@@ -89,23 +89,40 @@
     def __init__(self, times: LeaseTimes, process: str, since: float) -> None:
         self._times = times
         self._process = process
-        self._granted = since
+        self._granted_at = since
         self._take_over_base: int | None = None
 
     def grant(self, row: Shard, owner: str, base: int, now: float) -> bool:
-        """Grant a renewal if owner and heir know the same newest record; return whether granted."""
+        """Grant a renewal if owner and heir know the same newest record.
+
+        Parameters
+        ----------
+        row : Shard
+            The shard as this heir knows it.
+        owner : str
+            The process that asks.
+        base : int
+            The newest record that the owner knows.
+        now : float
+            The current monotonic time in seconds.
+
+        Returns
+        -------
+        bool
+            Whether the renewal is granted.
+        """
         if (row.owner, row.heir, row.base) != (owner, self._process, base):
             return False
         if self.is_taking_over(row):
             return False
-        self._granted = now
+        self._granted_at = now
         return True
 
     def may_take_over(self, row: Shard, now: float) -> bool:
         """Return whether every lease granted by this heir has expired."""
         if row.heir != self._process or self.is_taking_over(row):
             return False
-        return now > self._granted + self._times.lease_s + self._times.drift_s
+        return now > self._granted_at + self._times.lease_s + self._times.drift_s
 
     def is_taking_over(self, row: Shard) -> bool:
         """Return whether a take-over based on this row may have been appended."""
--- a/src/gentianmux/ledger.py
+++ b/src/gentianmux/ledger.py
@@ -70,10 +70,10 @@
     --------
     >>> ledger = Ledger(LedgerBounds(60_000, 1_000, 100_000))
     >>> ledger.check("m/a", b"digest", 5_000, 5_000).decision
-    <Verdict.ADMIT: 'admit'>
+    <AdmissionDecision.ADMIT: 'admit'>
     >>> ledger.admit("m/a", b"digest", 5_000)
     >>> ledger.check("m/a", b"digest", 5_000, 5_001).decision
-    <Verdict.JOIN: 'join'>
+    <AdmissionDecision.JOIN: 'join'>
     """
 
     def __init__(self, bounds: LedgerBounds, taken_over_ms: int = NO_TIME) -> None:
@@ -86,7 +86,24 @@
         self._timeless_fingerprints: set[int] = set()
 
     def check(self, key: str, digest: bytes, submitted_ms: int, now_ms: int) -> AdmissionResult:
-        """Return the decision on a submission without changing the ledger."""
+        """Return the decision on a submission without changing the ledger.
+
+        Parameters
+        ----------
+        key : str
+            The member and the job id.
+        digest : bytes
+            Digest of the submission, which must be the same for every use of the id.
+        submitted_ms : int
+            Unix time in ms that the id carries, or ``NO_TIME``.
+        now_ms : int
+            The current Unix time in ms.
+
+        Returns
+        -------
+        AdmissionResult
+            The decision; the caller carries it out, such as by ``admit``.
+        """
         entry = self._entries.get(key)
         if entry is not None:
             return self._check_known(entry, digest)
@@ -167,7 +184,7 @@
         horizon, ids without one by a fingerprint.
         """
         self.horizon_ms = max(self.horizon_ms, now_ms - self.bounds.keep_ms)
-        self._drop([key for key, entry in self._entries.items() if self._is_old(entry)])
+        self._drop([key for key, entry in self._entries.items() if self._is_expired(entry)])
         # Trimming starts below the limit so that new ids can still be admitted.
         high_water = self.bounds.max_bytes * 3 // 4
         if self.bytes > high_water:
@@ -175,7 +192,7 @@
         if self.bytes > high_water:
             self._drop_oldest()
 
-    def _is_old(self, entry: _Entry) -> bool:
+    def _is_expired(self, entry: _Entry) -> bool:
         # An id without a time does not expire; only the size limit removes it.
         return not entry.running and NO_TIME < entry.submitted_ms <= self.horizon_ms
 
@@ -211,9 +228,9 @@
             entry = self._entries.pop(key)
             self.bytes -= ENTRY_BYTES + len(entry.answer)
             if entry.submitted_ms == NO_TIME:
-                self._remember_timeless(key)
+                self._keep_fingerprint(key)
 
-    def _remember_timeless(self, key: str) -> None:
+    def _keep_fingerprint(self, key: str) -> None:
         if (len(self._timeless_fingerprints) + 1) * FINGERPRINT_BYTES > self.bounds.max_bytes // 4:
             self.timeless_lost = True
             return
--- a/src/gentianmux/log_client.py
+++ b/src/gentianmux/log_client.py
@@ -38,12 +38,24 @@
         )
 
     def append(self, stream: str, data: str) -> int:
-        """Append a record and return its offset."""
+        """Append a record and return its offset.
+
+        Raises
+        ------
+        LogError
+            If no answer came; the record may still have been appended.
+        """
         content = self._call("POST", f"/v1/streams/{quote(stream)}", data.encode(), 201)
         return int(content["offset"])
 
     def read(self, stream: str, offset: int, limit: int = DEFAULT_READ_LIMIT) -> list[Record]:
-        """Read at most ``limit`` records, starting at ``offset``."""
+        """Read at most ``limit`` records, starting at ``offset``.
+
+        Raises
+        ------
+        LogError
+            If no answer came, or records at ``offset`` are no longer retained.
+        """
         path = f"/v1/streams/{quote(stream)}?from={offset}&limit={limit}"
         content = self._call("GET", path, b"", 200)
         return [Record(each["offset"], each["data"]) for each in content["records"]]
--- a/src/gentianmux/membership.py
+++ b/src/gentianmux/membership.py
@@ -105,8 +105,8 @@
     Examples
     --------
     >>> local = MemberUpdate("a.1", "a", "agent", "127.0.0.1:1", "", "fd1", [], 8, 0, 0)
-    >>> members = Membership(local, Timing(0.5, 1.5), Random(1))
-    >>> members.is_alive("a.1")
+    >>> membership = Membership(local, Timing(0.5, 1.5), Random(1))
+    >>> membership.is_alive("a.1")
     True
     """
 
@@ -196,7 +196,17 @@
         return Outgoing(address, self._gossip(DatagramKind.PROBE, self._seq, ""))
 
     def receive(self, gossip: Gossip, address: str, now: float) -> list[Outgoing]:
-        """Handle a datagram and return the datagrams to send."""
+        """Handle a datagram and return the datagrams to send.
+
+        Parameters
+        ----------
+        gossip : Gossip
+            The content of the datagram.
+        address : str
+            The address that it came from.
+        now : float
+            The current monotonic time in seconds.
+        """
         first_contact = gossip.sender not in self._members
         for update in gossip.updates:
             self._merge(update, now)
--- a/src/gentianmux/node_context.py
+++ b/src/gentianmux/node_context.py
@@ -71,7 +71,9 @@
         self.draining = False
         self.read_requested = Event()
         timing = Timing(cfg.probe_ms / 1000, cfg.suspect_ms / 1000)
-        self.membership = Membership(to_member_update(identity), timing, Random(f"gossip {identity.process}"))
+        self.membership = Membership(
+            to_member_update(identity), timing, Random(f"gossip {identity.process}")
+        )
 
     @property
     def process(self) -> str:
--- a/src/gentianmux/publish.py
+++ b/src/gentianmux/publish.py
@@ -70,7 +70,13 @@
 
 
 def read_config(log: PlatformLog) -> ConfigState:
-    """Read the current configuration from the log."""
+    """Read the current configuration from the log.
+
+    Raises
+    ------
+    LogError
+        If the log does not answer.
+    """
     config = ConfigState()
     Follower(log, STREAM, config).poll()
     return config
--- a/src/gentianmux/shard_manager.py
+++ b/src/gentianmux/shard_manager.py
@@ -103,10 +103,10 @@
 
     def on_fleet_change(self) -> None:
         """Update owned shards and granted leases after records of the fleet were applied."""
-        me, now = self._ctx.process, self._ctx.now()
+        process, now = self._ctx.process, self._ctx.now()
         for number, row in enumerate(self._ctx.fleet.shards):
             owned = self.owned.get(number)
-            if row.owner == me:
+            if row.owner == process:
                 if owned is None or owned.epoch != row.epoch:
                     self._acquire(number, row, now)
             elif owned is not None:
@@ -155,8 +155,8 @@
 
     def _answer_early_requests(self) -> None:
         """Answer renewals that arrived before the records they are based on."""
-        early, self._early_requests = self._early_requests, {}
-        for sender, msg in early.items():
+        requests, self._early_requests = self._early_requests, {}
+        for sender, msg in requests.items():
             self.on_lease_request(msg, sender)
 
     def _grant(self, each: ShardLease, owner: str, now: float) -> bool:
@@ -192,9 +192,9 @@
         by_heir: dict[str, list[ShardLease]] = defaultdict(list)
         for number, owned in self.owned.items():
             row = self._ctx.fleet.shards[number]
-            asked = owned.requested_base == row.base
+            requested = owned.requested_base == row.base
             changing = owned.lease.is_frozen(row) and owned.pending is not None
-            if row.heir != NO_PROCESS and not changing and not (fresh_only and asked):
+            if row.heir != NO_PROCESS and not changing and not (fresh_only and requested):
                 owned.requested_base = row.base
                 by_heir[row.heir].append(ShardLease(number, row.base))
         for heir, shards in by_heir.items():
@@ -222,9 +222,9 @@
     def _needs_heir(self, owned: OwnedShard, row: Shard, now: float) -> bool:
         if row.heir == NO_PROCESS:
             return True
-        silent_s = now - owned.last_valid_at
+        since_valid_s = now - owned.last_valid_at
         gone = not self._ctx.membership.is_alive(row.heir)
-        return silent_s > (0 if gone else 2 * self._times.lease_s)
+        return since_valid_s > (0 if gone else 2 * self._times.lease_s)
 
     def is_pending(self, number: int, owned: OwnedShard, row: Shard, now: float) -> bool:
         """Return whether a change is unresolved, appending it again after a while.
--- a/src/gentianmux/shard_moves.py
+++ b/src/gentianmux/shard_moves.py
@@ -69,7 +69,9 @@
             if moving >= MAX_CONCURRENT_MOVES:
                 return
             preferred_agent = self._shard_manager.preferred_agent(number, agents)
-            if preferred_agent not in (self._ctx.process, NO_PROCESS) and self._begin_move(number, preferred_agent):
+            if preferred_agent not in (self._ctx.process, NO_PROCESS) and self._begin_move(
+                number, preferred_agent
+            ):
                 moving += 1
 
     def _begin_move(self, number: int, target: str) -> bool:
--- a/src/gentianmux/start_records.py
+++ b/src/gentianmux/start_records.py
@@ -88,8 +88,8 @@
     --------
     >>> records = StartRecords(keep_ms=60_000)
     >>> batch = StartBatch("m/a", 0, 5, "m", "s", -1, -1, False, 0, 0, [Task(0, 0, "", 0)])
-    >>> offer = records.offer(batch, "w1.1", now=0.0, now_ms=0)
-    >>> records.begin(offer.job, offer.queued[0], 0.0)
+    >>> accepted = records.offer(batch, "w1.1", now=0.0, now_ms=0)
+    >>> records.begin(accepted.job, accepted.queued[0], 0.0)
     True
     >>> records.offer(batch, "w1.1", now=0.0, now_ms=0).queued
     []
@@ -102,7 +102,24 @@
         self.fences: dict[int, int] = {}
 
     def offer(self, batch: StartBatch, coordinator: str, now: float, now_ms: int) -> AcceptedBatch:
-        """Queue the new tasks of a batch; results of ended tasks are added to the unsent ones."""
+        """Queue the new tasks of a batch; results of ended tasks are added to the unsent ones.
+
+        Parameters
+        ----------
+        batch : StartBatch
+            Tasks to start, under the epoch of the shard's owner.
+        coordinator : str
+            The process that sent the batch and gets the results.
+        now : float
+            The current monotonic time in seconds.
+        now_ms : int
+            The current Unix time in ms.
+
+        Returns
+        -------
+        AcceptedBatch
+            Without a job when the epoch is older than the shard's fence.
+        """
         if batch.epoch < self.fences.get(batch.shard, -1):
             refused = [_not_run(task, ResultCode.STALE_EPOCH) for task in batch.tasks]
             return AcceptedBatch(None, [], refused)
@@ -208,8 +225,8 @@
     def trim(self, now_ms: int) -> None:
         """Remove expired jobs, and note up to when starts may be forgotten."""
         limit = now_ms - self._keep_ms
-        old = [key for key, job in self.jobs.items() if not job.open and job.seen_ms < limit]
-        for key in old:
+        expired = [key for key, job in self.jobs.items() if not job.open and job.seen_ms < limit]
+        for key in expired:
             self.forgotten_ms = max(self.forgotten_ms, self.jobs[key].seen_ms + 1)
             del self.jobs[key]
 
