--- a/src/gentianmux/member_claims.py
+++ b/src/gentianmux/member_claims.py
@@ -16,7 +16,7 @@
     ----------
     claim : float
         Greatest share of the pool, from 0 to 1.
-    slots : mapping get_or_add str to int
+    slots : mapping of str to int
         Slots by worker, for the whole inventory.
 
     Returns
@@ -30,13 +30,13 @@
     {'w1': 1, 'w2': 2}
     """
     share = Fraction(claim).limit_denominator(1000)
-    parts, slots_so_far, assigned = {}, 0, 0
+    limits, slots_so_far, assigned = {}, 0, 0
     for worker in sorted(slots):
         slots_so_far += slots[worker]
         cumulative = int(share * slots_so_far)
-        parts[worker] = cumulative - assigned
+        limits[worker] = cumulative - assigned
         assigned = cumulative
-    return parts
+    return limits
 
 
 class MemberClaims:
@@ -61,10 +61,10 @@
     def slot_limit(self, member: str, worker: str, now: float) -> int | None:
         """Return the slots of a worker that a member may hold at once, or None for no limit."""
         self._refresh(now)
-        parts = [self._limits.get(member)]
+        limits = [self._limits.get(member)]
         if now - self._changed < TRANSITION_S:
-            parts.append(self._previous.get(member))
-        bounds = [each.get(worker, 0) for each in parts if each is not None]
+            limits.append(self._previous.get(member))
+        bounds = [each.get(worker, 0) for each in limits if each is not None]
         return min(bounds, default=None)
 
     def _refresh(self, now: float) -> None:
--- a/src/gentianmux/node.py
+++ b/src/gentianmux/node.py
@@ -119,25 +119,25 @@
             Whether all of this completed within ``drain_s`` seconds.
         """
         ctx = self.ctx
-        until = ctx.now() + ctx.cfg.drain_s
+        deadline = ctx.now() + ctx.cfg.drain_s
         ctx.draining = True
         ctx.membership.leave()
         logger.info("draining")
         gevent.sleep(LEAVE_NOTICE_S)
         while not self._is_empty():
-            if ctx.now() > until:
+            if ctx.now() > deadline:
                 logger.warning("draining timed out with work in flight")
                 return False
             if ctx.is_agent:
                 ctx.shard_manager.moves.move_all_away()
             gevent.sleep(DRAIN_POLL_INTERVAL_S)
-        self.stream_reader.leave(self._hand_over_records(until))
+        self.stream_reader.leave(self._hand_over_records(deadline))
         return True
 
-    def _hand_over_records(self, until: float) -> str:
+    def _hand_over_records(self, deadline: float) -> str:
         """Send the start records to another agent; return its name, or an empty string."""
         ctx = self.ctx
-        while ctx.is_agent and ctx.now() < until:
+        while ctx.is_agent and ctx.now() < deadline:
             target = ctx.shard_manager.moves.choose_records_target()
             if not target or ctx.executor.hand_over_records(target):
                 return target
@@ -150,9 +150,9 @@
             return False
         if not ctx.is_agent:
             return True
-        farewells_done = ctx.executor.send_shutdown_notices()
+        notices_acknowledged = ctx.executor.send_shutdown_notices()
         idle = ctx.executor.is_idle() and not ctx.coordinator.jobs
-        return farewells_done and idle and not self._shards_to_move()
+        return notices_acknowledged and idle and not self._shards_to_move()
 
     def _shards_to_move(self) -> bool:
         return bool(self.ctx.shard_manager.owned) and self.ctx.shard_manager.moves.has_move_target()
