--- a/src/gentianmux/fleet_state.py
+++ b/src/gentianmux/fleet_state.py
@@ -139,8 +139,8 @@
             if join.process != row.prior
         )
 
-    def starts_lost_until_ms(self, row: Shard, service: str) -> int:
-        """Return the Unix time in ms up to which records of starts of a shard may be lost.
+    def starts_lost_until(self, row: Shard, service: str) -> int:
+        """Return until when records of starts of a shard may be lost, as Unix time in ms.
 
         A process that ended may have started tasks of the shard until then, and no other
         process can tell.
--- a/src/gentianmux/trace_collector.py
+++ b/src/gentianmux/trace_collector.py
@@ -134,7 +134,7 @@
             silent.discard(row.prior)
         if silent or may_have_forgotten(question.forgotten_ms, msg.submitted_ms, skew_ms):
             return False
-        lost_until = fleet.starts_lost_until_ms(row, msg.service)
+        lost_until = fleet.starts_lost_until(row, msg.service)
         if lost_until == 0:
             return True
         return msg.submitted_ms != NO_TIME and msg.submitted_ms > lost_until + 2 * skew_ms
--- a/tests/test_fault_walks.py
+++ b/tests/test_fault_walks.py
@@ -101,7 +101,7 @@
         job_id = f"j{number - rng.randint(0, 3)}"
         world.submit(job_id, rng.choice(("e0", "e1")))
         world.run(rng.choice((0.01, 0.05, 0.5)))
-        _disturb(world, rng, world.owner(job_id) or "a0")
+        _inject_fault(world, rng, world.owner(job_id) or "a0")
         world.run(rng.choice((0.01, 0.3, 1, 4)))
         world.submit(job_id, rng.choice(("e0", "e1")))
     world.heal()
@@ -109,7 +109,7 @@
     return world
 
 
-def _disturb(world: World, rng: Random, owner: str) -> None:
+def _inject_fault(world: World, rng: Random, owner: str) -> None:
     name = rng.choice((owner, owner, rng.choice(AGENTS)))
     choice = rng.random()
     if choice < 0.12:
@@ -160,7 +160,7 @@
 MUTATIONS = {
     "no age rule": (Ledger, "_new_after", _always(0)),
     "no lease": (OwnerLease, "is_valid", _valid_without_lease),
-    "departed agents forgotten": (FleetState, "starts_lost_until_ms", _always(0)),
+    "departed agents forgotten": (FleetState, "starts_lost_until", _always(0)),
     "silent agents ignored": (trace_collector.TraceCollector, "_is_conclusive", _always(True)),
     "start records ignored": (
         start_records.StartRecords,
