--- a/src/gentianmux/shard_manager.py
+++ b/src/gentianmux/shard_manager.py
@@ -103,10 +103,10 @@
 
     def on_fleet_change(self) -> None:
         """Update owned shards and granted leases after records of the fleet were applied."""
-        process, now = self._ctx.process, self._ctx.now()
+        this_process, now = self._ctx.process, self._ctx.now()
         for number, row in enumerate(self._ctx.fleet.shards):
             owned = self.owned.get(number)
-            if row.owner == process:
+            if row.owner == this_process:
                 if owned is None or owned.epoch != row.epoch:
                     self._acquire(number, row, now)
             elif owned is not None:
