--- a/src/gentianmux/fleet_records.py
+++ b/src/gentianmux/fleet_records.py
@@ -5,7 +5,7 @@
 
 
 class Join(NamedTuple):
-    """A process announces itself; ``incarnation`` is its start time in Unix ms."""
+    """A process joins the fleet; ``incarnation`` is its start time in Unix ms."""
 
     process: str
     name: str
--- a/src/gentianmux/membership.py
+++ b/src/gentianmux/membership.py
@@ -1,4 +1,4 @@
-"""Failure detection and dissemination by gossip in the manner of SWIM, without I/O."""
+"""Failure detection with probes, suspicion and gossip in the manner of SWIM, without I/O."""
 
 from collections.abc import Callable, Iterable
 from enum import IntEnum
