--- a/src/gentianmux/leased/entry_reports.py
+++ b/src/gentianmux/leased/entry_reports.py
@@ -9,7 +9,7 @@
 from .grants import GRANT_S, Grants
 from .links import Links
 from .model import How
-from .room import NO_ROOM, Room
+from .resources import NO_ROOM, Resources
 
 GATHER_S = 0.002
 """Seconds for which changes are gathered into one report to all: about one network round trip."""
@@ -24,7 +24,7 @@
 class Load(NamedTuple):
     """What a load report says of the agent."""
 
-    offered: Room
+    offered: Resources
     slowness_percent: int
     config_version: int
     longest_ms: int
@@ -141,7 +141,7 @@
         """Report to all entries what changes for all of them."""
         if not self._gathering:
             self._gathering = True
-            self._clock.later(GATHER_S, self.send_load)
+            self._clock.call_later(GATHER_S, self.send_load)
 
     def send_load(self) -> None:
         """Report the load to every entry."""
@@ -241,7 +241,7 @@
     def _look_for_lapsed(self) -> None:
         if not self._lapsing:
             self._lapsing = True
-            self._clock.later(GRANT_S, self._after_lapse)
+            self._clock.call_later(GRANT_S, self._after_lapse)
 
     def _after_lapse(self) -> None:
         self._lapsing = False
