--- a/bench/leased_speed.py
+++ b/bench/leased_speed.py
@@ -25,11 +25,11 @@
 from gentianmux.leased.entry import Entry
 from gentianmux.leased.fleet_view import FleetView
 from gentianmux.leased.model import (
-    How,
     JobConfig,
     JobSpec,
     QueueRules,
     RequestLimits,
+    RunOutcome,
     StepSpec,
 )
 from gentianmux.leased.resources import Resources
@@ -152,7 +152,7 @@
         rows: list[EndedRun] = []
         while runs and len(rows) < PER_REPORT:
             self.ends += 1
-            rows.append(EndedRun(self.ends, *runs.popleft(), int(How.DONE), 120))
+            rows.append(EndedRun(self.ends, *runs.popleft(), int(RunOutcome.DONE), 120))
         if rows:
             self.take(name, EndedRuns(rows))
             self.report(name, len(rows) * NEED.cpu)
--- a/bench/world.py
+++ b/bench/world.py
@@ -9,7 +9,7 @@
 from typing import Any, ClassVar
 
 from bench.check import Given, Start, Violation, violations
-from gentianmux.board import Board
+from gentianmux.board import NodeContext
 from gentianmux.clock import Clock
 from gentianmux.codes import ResultCode
 from gentianmux.coordinator import Coordinator
@@ -156,7 +156,7 @@
         me = announce(cfg, incarnation)
         self.name = name
         self.process = me.process
-        self.ctx = Board(cfg, me, FakeLog(world, name), FakeClock(world, me.process))
+        self.ctx = NodeContext(cfg, me, FakeLog(world, name), FakeClock(world, me.process))
         self.ctx.members = FakeMembers(world, me.process)  # type: ignore[assignment]
         self.ctx.peers = FakePeers(world, me.process)  # type: ignore[assignment]
         ShardKeeper(self.ctx)
--- a/src/gentianmux/coordinator.py
+++ b/src/gentianmux/coordinator.py
@@ -3,7 +3,7 @@
 import gevent
 from loguru import logger
 
-from .board import Board
+from .board import NodeContext
 from .budget import RetryBudget
 from .codes import ResultCode
 from .errors import GentianmuxError
@@ -38,11 +38,11 @@
 
     Parameters
     ----------
-    ctx : Board
+    ctx : NodeContext
         The blackboard; this puts itself there as ``coordinator``.
     """
 
-    def __init__(self, ctx: Board) -> None:
+    def __init__(self, ctx: NodeContext) -> None:
         ctx.coordinator = self
         self.jobs: dict[str, Job] = {}
         self._repeats = RetryBudget(ctx.cfg.hedge_percent)
--- a/src/gentianmux/executor.py
+++ b/src/gentianmux/executor.py
@@ -7,7 +7,7 @@
 import gevent
 from loguru import logger
 
-from .board import Board
+from .board import NodeContext
 from .codes import ResultCode
 from .endpoint_client import EndpointClient, Run, task_name
 from .fair_queue import FairQueue
@@ -49,11 +49,11 @@
 
     Parameters
     ----------
-    ctx : Board
+    ctx : NodeContext
         The blackboard; this puts itself there as ``executor``.
     """
 
-    def __init__(self, ctx: Board) -> None:
+    def __init__(self, ctx: NodeContext) -> None:
         ctx.executor = self
         self.records = StartRecords(ctx.cfg.keep_s * 1000)
         self.running: dict[str, tuple[JobRecord, TaskRecord]] = {}
--- a/src/gentianmux/shard_moves.py
+++ b/src/gentianmux/shard_moves.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, NamedTuple
 
-from .board import Board
+from .board import NodeContext
 from .fleet_records import Handover, ShardChange
 from .fleet_state import NOBODY, Shard
 from .ledger import Ledger, LedgerBounds
@@ -32,13 +32,13 @@
 
     Parameters
     ----------
-    ctx : Board
+    ctx : NodeContext
         The blackboard.
     keeper : ShardKeeper
         The shards that this agent owns.
     """
 
-    def __init__(self, ctx: Board, keeper: "ShardKeeper") -> None:
+    def __init__(self, ctx: NodeContext, keeper: "ShardKeeper") -> None:
         self._ctx = ctx
         self._keeper = keeper
         self._incoming: dict[int, Incoming] = {}
--- a/src/gentianmux/traces.py
+++ b/src/gentianmux/traces.py
@@ -3,7 +3,7 @@
 from collections import defaultdict
 from typing import NamedTuple
 
-from .board import Board
+from .board import NodeContext
 from .codes import ResultCode
 from .fleet_state import Shard
 from .ids import NO_TIME
@@ -37,11 +37,11 @@
 
     Parameters
     ----------
-    ctx : Board
+    ctx : NodeContext
         The blackboard.
     """
 
-    def __init__(self, ctx: Board) -> None:
+    def __init__(self, ctx: NodeContext) -> None:
         self._ctx = ctx
         self._gathering: dict[int, dict[str, list[_Parked]]] = {}
         self._questions: dict[int, _Question] = {}
