--- a/bench/leased_speed.py
+++ b/bench/leased_speed.py
@@ -73,7 +73,7 @@
     def call_later(self, delay_s: float, call: Any, *args: Any) -> None:
         self.due.append((call, args))
 
-    def soon(self, call: Any, *args: Any) -> None:
+    def call_soon(self, call: Any, *args: Any) -> None:
         self.due.append((call, args))
 
     def run_due(self) -> None:
--- a/src/gentianmux/log_watch.py
+++ b/src/gentianmux/log_watch.py
@@ -3,13 +3,13 @@
 from loguru import logger
 
 from . import config_state, fleet_state
-from .board import NodeContext
 from .errors import LogError
 from .fleet_records import Leave, to_json
 from .follower import Follower
 from .membership import Versions
 from .memory_log import Record
 from .messages import LogRecord, StateBody, StatePull
+from .node_context import NodeContext
 from .shard_keeper import rendezvous
 
 ANNOUNCE_AGAIN_S = 2.0
@@ -119,7 +119,7 @@
         if joined or ctx.draining or ctx.now() - self._announced < ANNOUNCE_AGAIN_S:
             return
         self._announced = ctx.now()
-        ctx.clock.soon(self.append, fleet_state.STREAM, to_json(ctx.me))
+        ctx.clock.call_soon(self.append, fleet_state.STREAM, to_json(ctx.me))
 
     def append(self, stream: str, data: str) -> bool:
         """Append to a stream; false when it is not known whether that took effect."""
--- a/src/gentianmux/placement.py
+++ b/src/gentianmux/placement.py
@@ -3,11 +3,11 @@
 from collections import defaultdict
 from collections.abc import Iterable, Iterator
 
-from .board import NodeContext
 from .codes import ResultCode
 from .fleet_records import Join
 from .job import Job
 from .messages import Decline, Offer, Reserve, StartBatch, StartHow
+from .node_context import NodeContext
 from .routing import QUEUE_PER_SLOT, AgentHealth, AgentLoad, Candidate, choose, reserve_at
 from .rules import WorkerItem
 from .submission import Size, TaskSpec, fits, needs_of
@@ -260,7 +260,7 @@
         """Place the backlog once for all results that arrive together."""
         if self.backlog and not self._placing:
             self._placing = True
-            self._ctx.clock.soon(self.place_backlog)
+            self._ctx.clock.call_soon(self.place_backlog)
 
     def place_backlog(self) -> None:
         """Place what waits, least work left first."""
--- a/src/gentianmux/shard_keeper.py
+++ b/src/gentianmux/shard_keeper.py
@@ -7,7 +7,6 @@
 import gevent
 from loguru import logger
 
-from .board import NodeContext
 from .codes import ResultCode
 from .errors import LogError
 from .fleet_records import Claim, FleetRecord, Handover, HeirChange, ShardChange, TakeOver, to_json
@@ -25,6 +24,7 @@
     Submit,
     TraceReply,
 )
+from .node_context import NodeContext
 from .shard_moves import ShardMoves
 from .traces import TraceCollector
 
@@ -323,7 +323,7 @@
 
     def append(self, record: FleetRecord) -> None:
         """Append a record without waiting; what became of it is read from the log."""
-        self._ctx.clock.soon(self._append, record)
+        self._ctx.clock.call_soon(self._append, record)
 
     def _append(self, record: FleetRecord) -> None:
         self._ctx.metrics.count("log_appends")
--- a/src/gentianmux/witness.py
+++ b/src/gentianmux/witness.py
@@ -1,11 +1,11 @@
 """Looks for proof that silent processes have ended, and puts it into the log."""
 
-from .board import NodeContext
 from .errors import LogError
 from .fleet_records import Evict, to_json
 from .fleet_state import STREAM
 from .membership import State
 from .messages import MemberUpdate
+from .node_context import NodeContext
 from .shard_keeper import rendezvous
 
 WITNESSES = 2
@@ -54,7 +54,7 @@
         if now - self._evicted.get(process, -REPEAT_S) < REPEAT_S:
             return
         self._evicted[process] = now
-        self._ctx.clock.soon(self._append, process)
+        self._ctx.clock.call_soon(self._append, process)
 
     def check_dead(self) -> None:
         """Look again at dead processes that the log still names."""
