--- a/bench/world.py
+++ b/bench/world.py
@@ -28,7 +28,7 @@
 from gentianmux.node_context import NodeContext
 from gentianmux.placement import Placement
 from gentianmux.settings import Settings
-from gentianmux.shard_keeper import ShardKeeper
+from gentianmux.shard_keeper import ShardManager
 from gentianmux.start_records import JobRecord, TaskRecord
 from gentianmux.witness import Witness
 
@@ -159,7 +159,7 @@
         self.ctx = NodeContext(cfg, me, FakeLog(world, name), FakeClock(world, me.process))
         self.ctx.members = FakeMembers(world, me.process)  # type: ignore[assignment]
         self.ctx.peers = FakePeers(world, me.process)  # type: ignore[assignment]
-        ShardKeeper(self.ctx)
+        ShardManager(self.ctx)
         Coordinator(self.ctx)
         Placement(self.ctx)
         executor = Executor(self.ctx)
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -29,7 +29,7 @@
 from .job_state import JobState, Outcome, longest_chain_s
 from .leaving import ends_in_time
 from .links import Links
-from .model import JobSpec, QueueRules, RunOutcome
+from .model import JobSpec, QueueConfig, RunOutcome
 from .placing import Placing
 from .resources import NO_RESOURCES
 from .run_ends import RunEnds
@@ -108,7 +108,7 @@
 
     # Jobs
 
-    def submit(self, spec: JobSpec, queue: QueueRules, time_limit_s: float) -> Ticket:
+    def submit(self, spec: JobSpec, queue: QueueConfig, time_limit_s: float) -> Ticket:
         """Admit a job, or join the one of the same id that is at work here."""
         running = self._ctx.jobs.get(spec.job_id)
         if running is not None:
--- a/src/gentianmux/shard_keeper.py
+++ b/src/gentianmux/shard_keeper.py
@@ -48,7 +48,7 @@
         self.move = 0
 
 
-class ShardKeeper:
+class ShardManager:
     """The controller of shards; every change of ownership goes through the platform's log.
 
     Parameters
