--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -7,7 +7,7 @@
 import gevent
 from loguru import logger
 
-from ..clock import Clock, repeat
+from ..clock import Clock, run_periodically
 from ..messages import (
     Assign,
     ConfigPiece,
@@ -189,7 +189,10 @@
 
     def run_loops(self) -> list[gevent.Greenlet]:
         """Spawn the loops of this controller."""
-        return [gevent.spawn(self._ctx.looks.run), gevent.spawn(repeat, 0.0, self._keep_up)]
+        return [
+            gevent.spawn(self._ctx.looks.run),
+            gevent.spawn(run_periodically, 0.0, self._keep_up),
+        ]
 
     def _keep_up(self) -> None:
         """Check the chains and report, and wait for the next turn: at rest no run depends on it."""
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -5,7 +5,7 @@
 import gevent
 from loguru import logger
 
-from ..clock import Clock, repeat
+from ..clock import Clock, run_periodically
 from ..messages import (
     AgentLoad,
     ConfigPiece,
@@ -233,8 +233,8 @@
     def run_loops(self) -> list[gevent.Greenlet]:
         """Spawn the loops of this controller."""
         return [
-            gevent.spawn(repeat, 0.0, self._step_and_rest),
-            gevent.spawn(repeat, LOSS_CHECK_S, self.check_losses),
+            gevent.spawn(run_periodically, 0.0, self._step_and_rest),
+            gevent.spawn(run_periodically, LOSS_CHECK_S, self.check_losses),
         ]
 
     def _step_and_rest(self) -> None:
