--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -25,7 +25,7 @@
 from .agent_context import AgentContext
 from .chain import REPORT_S
 from .config_feed import ConfigFeed
-from .config_handing import ConfigHanding
+from .config_transfer import ConfigHanding
 from .endpoint_looks import EndpointLooks, LookHooks
 from .endpoint_tracker import EndpointTracker, TrackerHooks
 from .entry_reports import EntryReports, Load
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -21,8 +21,8 @@
 from .admitting import Admitting
 from .chain import ECHO_GAP_S
 from .config_feed import ConfigFeed
-from .config_handing import ConfigHanding
-from .entry_board import EntryBoard
+from .config_transfer import ConfigHanding
+from .entry_board import EntryContext
 from .evacuation_sharing import EvacuationSharing
 from .evacuations import Evacuations
 from .fleet_view import FleetView
@@ -82,7 +82,7 @@
         clock: Clock,
         link_bytes_s: float = 0.0,
     ) -> None:
-        self._ctx = EntryBoard(view, links, feed, metrics, clock, link_bytes_s)
+        self._ctx = EntryContext(view, links, feed, metrics, clock, link_bytes_s)
         self._handing = ConfigHanding(feed, links, clock)
         self._sharing = EvacuationSharing(feed.evacuations, links, self._on_evacuations)
         self._ends = RunEnds(self._ctx)
