--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -22,8 +22,8 @@
 from .chain import ECHO_GAP_S
 from .config_feed import ConfigFeed
 from .config_transfer import ConfigHanding
-from .entry_board import EntryContext
-from .evacuation_sharing import EvacuationSharing
+from .entry_context import EntryContext
+from .evacuation_broadcast import EvacuationSharing
 from .evacuations import Evacuations
 from .fleet_view import FleetView
 from .job_state import JobState, Outcome, longest_chain_s
@@ -173,7 +173,7 @@
         view.heard_at = self._ctx.clock.now()
         if before != msg:
             logger.bind(
-                peer=agent, endpoint=msg.life, accepting=msg.accepting, service=msg.service
+                peer=agent, endpoint=msg.incarnation, accepting=msg.accepting, service=msg.service
             ).info("endpoint state")
         if msg.accepting:
             self._ends.lose_earlier_lives(agent)
