--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -46,7 +46,7 @@
 from gentianmux.leased.run_table import RunTable
 from gentianmux.messages import Assign, LeasedTask
 from gentianmux.platform.endpoint import PlatformEndpoint, read_farewell, read_report
-from gentianmux.platform.http_call import HttpReply
+from gentianmux.platform.http_client import HttpReply
 from standins.platform_endpoint import PlatformEndpointApp
 
 COMPLETED = b'{"state": "completed"}'
