--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -24,12 +24,12 @@
 from ..metrics import Metrics
 from .agent_context import AgentContext
 from .config_feed import ConfigFeed
-from .config_transfer import ConfigHanding
+from .config_transfer import ConfigTransfer
 from .endpoint_poller import EndpointPoller, LookHooks
 from .endpoint_tracker import EndpointTracker, TrackerHooks
 from .entry_leases import REPORT_S
 from .entry_reports import EntryReports, Load
-from .evacuation_broadcast import EvacuationSharing
+from .evacuation_broadcast import EvacuationBroadcast
 from .evacuations import Evacuations
 from .grants import LATE_RESERVE
 from .health import EndpointHealth
@@ -93,8 +93,8 @@
     ) -> None:
         ctx = AgentContext(cfg, driver, links, feed, metrics, clock)
         self._ctx = ctx
-        self._handing = ConfigHanding(feed, links, clock)
-        self._sharing = EvacuationSharing(feed.evacuations, links, self._on_evacuations)
+        self._handing = ConfigTransfer(feed, links, clock)
+        self._sharing = EvacuationBroadcast(feed.evacuations, links, self._on_evacuations)
         self._idle_since: float | None = None
         self.on_endpoint: Callable[[EndpointReport | None], None] = lambda report: None
         self._stops = RunStops(ctx)
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -7,12 +7,12 @@
 
 from ..messages import AgentLoad, EndpointState
 from .claiming import Signature
-from .entry_leases import CHAIN_S, surely_over
+from .entry_leases import ENTRY_LEASE_S, leases_expire_at
 from .leaving import NO_BOUND_MS
 from .model import instance_of
 from .resources import NO_RESOURCES, Resources
 
-SILENT_S = CHAIN_S - 0.05
+SILENT_S = ENTRY_LEASE_S - 0.05
 """Seconds without a load report after which an agent gets nothing new: what is assigned later comes
 when its chain is over, and is refused. Reports come every 0.125 or 0.25 s."""
 
@@ -173,7 +173,7 @@
     def is_over(self, process: str, now: float) -> bool:
         """Whether nothing that the agent was assigned can still run."""
         view = self.agents.get(process)
-        return view is None or now > surely_over(view.heard_at, self._lease_s)
+        return view is None or now > leases_expire_at(view.heard_at, self._lease_s)
 
     def is_reachable(self, now: float) -> bool:
         """Whether any agent with an endpoint was heard of lately."""
--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -15,8 +15,8 @@
 from nodes import free_port
 
 from gentianmux.http_server import HttpServer
-from gentianmux.leased.caller_watch import wait_for_verdict
-from gentianmux.leased.job_state import JobState, Outcome
+from gentianmux.leased.caller_watch import wait_for_result
+from gentianmux.leased.job_state import JobOutcome, JobState
 from gentianmux.leased.model import JobSpec, QueueConfig, StepSpec
 from gentianmux.leased.resources import Resources
 from gentianmux.leased.ticket import Ticket, Verdict
@@ -39,7 +39,7 @@
 
     def abandon(self, ticket: Ticket, reason: str) -> None:
         self.abandoned.append(reason)
-        ticket.verdict = Verdict(Outcome.UNKNOWN, reason)
+        ticket.verdict = Verdict(JobOutcome.UNKNOWN, reason)
         ticket.done.set()
 
     def ticket(self) -> Ticket:
@@ -47,7 +47,7 @@
         return Ticket(JobState(spec, QUEUE, 0.0, 9.0))
 
     def refuse(self, ticket: Ticket) -> None:
-        ticket.verdict = Verdict(Outcome.NOT_RUN, "no room")
+        ticket.verdict = Verdict(JobOutcome.NOT_RUN, "no room")
         if self._later:
             gevent.spawn(ticket.done.set)
         else:
@@ -61,7 +61,7 @@
     def app(environ, start_response):  # type: ignore[no-untyped-def]
         ticket = entry.ticket()
         entry.refuse(ticket)
-        wait_for_verdict(entry, ticket, environ["gentianmux.socket"])
+        wait_for_result(entry, ticket, environ["gentianmux.socket"])
         headers = [("Content-Length", "0"), ("Connection", "close")]
         start_response("503 Service Unavailable", headers)
         return [b""]
@@ -90,7 +90,7 @@
 
 def waiting_on(sock: gsocket.socket, entry: RefusingEntry) -> Ticket:
     ticket = entry.ticket()
-    gevent.spawn(wait_for_verdict, entry, ticket, sock)
+    gevent.spawn(wait_for_result, entry, ticket, sock)
     gevent.sleep(0.01)
     return ticket
 
