--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -21,7 +21,7 @@
 from gentianmux.config_state import Change, ConfigState
 from gentianmux.fleet_records import Join, to_json
 from gentianmux.fleet_state import FleetState, Shard
-from gentianmux.frames import pack
+from gentianmux.frames import pack_frame
 from gentianmux.ledger import Ledger, LedgerBounds
 from gentianmux.membership import Membership, Timing
 from gentianmux.messages import (
@@ -33,7 +33,7 @@
     TaskResult,
 )
 from gentianmux.platform_log import Record
-from gentianmux.routing import choose
+from gentianmux.routing import choose_agents
 from gentianmux.start_records import StartRecords
 
 RESULT = ROOT / "bench" / "results" / "capacity.json"
@@ -94,7 +94,7 @@
 def members(count: int) -> Membership:
     """A membership that knows so many processes."""
     core = Membership(_member(0), Timing(0.5, 1.5), Random(1))
-    core.learn([_join(number) for number in range(1, count + 1)], 0.0)
+    core.add_joined([_join(number) for number in range(1, count + 1)], 0.0)
     return core
 
 
@@ -166,11 +166,11 @@
         join = _join(number)._replace(services=["s"])
         node.ctx.fleet.processes[join.process] = join
     node.ctx.fleet.version += 1
-    node.ctx.members.is_alive = lambda process: True  # type: ignore[method-assign]
+    node.ctx.membership.is_alive = lambda process: True  # type: ignore[method-assign]
     placement = node.ctx.placement
 
     def once() -> None:
-        chosen = choose(20, placement.candidates("s", 20), node.ctx.rng)
+        chosen = choose_agents(20, placement.candidates("s", 20), node.ctx.rng)
         assert len(chosen) == 20
 
     return micros(once, 30, 20)
@@ -191,7 +191,7 @@
         "job in start records (one task, 60 B)": bytes_each(records),
         "encode a task": micros(lambda: encode(batch), per=150),
         "decode a task": micros(lambda: decode(body), per=150),
-        "frame and digest, 150 tasks": micros(lambda: pack(body)),
+        "frame and digest, 150 tasks": micros(lambda: pack_frame(body)),
         "membership tick, 2000 known": micros(lambda: core.tick(perf_counter())),
         "renewal of 2 shards, coding": micros(lambda: decode(encode(lease))),
         **{f"candidates of a job of 20 among {n}, a task": decision(n) for n in AGENTS},
--- a/bench/leased_capacity.py
+++ b/bench/leased_capacity.py
@@ -8,7 +8,7 @@
 from time import process_time
 
 from bench.processes import ROOT
-from gentianmux.leased.fleet_view import FleetView, Wish
+from gentianmux.leased.fleet_view import FleetView, PlacementRequest
 from gentianmux.leased.job_state import JobState
 from gentianmux.leased.model import JobSpec, QueueConfig, StepSpec
 from gentianmux.leased.resources import Resources
@@ -26,28 +26,28 @@
     rng = Random(1)
     view = FleetView(0.55, rng)
     for number in range(agents):
-        agent = view.of(f"side-{number}.1764690000000")
+        agent = view.get_or_add(f"side-{number}.1764690000000")
         agent.state = EndpointState(
             f"i-{number}", "s", "fd1", 16000, 65536, 0, ["a", f"r{number // 3}"], True
         )
         load = AgentLoad(
             1, 0, rng.randrange(0, 16000), 60000, 0, rng.randrange(80, 180), 1, 3, 9000
         )
-        agent.take_load(load, 1.0)
+        agent.apply_report(load, 1.0)
     return view
 
 
 def decision_us(agents: int) -> float:
     """Processor time of placing one job of four tasks, in microseconds, median of rounds."""
     view = fleet(agents)
-    wish = Wish("s", Resources(1600, 64))
+    request = PlacementRequest("s", Resources(1600, 64))
     took = []
     for _ in range(ROUNDS):
         began = process_time()
         for _ in range(DECISIONS):
-            willing = view.willing("s", 1.0)
+            willing = view.eligible("s", 1.0)
             for _ in range(4):
-                view.choose(wish, willing)
+                view.choose(request, willing)
         took.append((process_time() - began) / DECISIONS * 1e6)
     return round(median(took), 1)
 
--- a/bench/leased_links.py
+++ b/bench/leased_links.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING, Any
 
 from gentianmux.clock import Clock
-from gentianmux.leased.links import NOTHING_HEARD_S, RENEW_AGAIN_S, SILENT_S
+from gentianmux.leased.links import IDLE_TIMEOUT_S, RECONNECT_AFTER_S, RECONNECT_INTERVAL_S
 from gentianmux.messages import Hello, Message
 
 if TYPE_CHECKING:
@@ -66,17 +66,17 @@
             self.heard[sender] = self._world.time
             self.on_message(msg, sender)
 
-    def close_silent(self) -> None:
+    def close_idle(self) -> None:
         for process in list(self.open):
-            if self._world.time - self.heard[process] > SILENT_S:
+            if self._world.time - self.heard[process] > IDLE_TIMEOUT_S:
                 self.close(process)
 
-    def renew(self, process: str) -> None:
-        """Replace a connection, at most once in ``RENEW_AGAIN_S``."""
+    def reconnect(self, process: str) -> None:
+        """Replace a connection, at most once in ``RECONNECT_INTERVAL_S``."""
         now = self._world.time
-        if now - self.heard.get(process, now) < NOTHING_HEARD_S:
+        if now - self.heard.get(process, now) < RECONNECT_AFTER_S:
             return
-        if now - self.renewed.get(process, -RENEW_AGAIN_S) >= RENEW_AGAIN_S:
+        if now - self.renewed.get(process, -RECONNECT_INTERVAL_S) >= RECONNECT_INTERVAL_S:
             self.renewed[process] = now
             self._world.at(3 * ONE_WAY_S, "", self._world.reopen, self.me.process, process)
 
--- a/bench/leased_world.py
+++ b/bench/leased_world.py
@@ -16,11 +16,12 @@
 from bench.leased_links import ONE_WAY_S, FakeClock, FakeLinks
 from gentianmux.clock import Clock
 from gentianmux.codec import encode
-from gentianmux.leased.agent import UPKEEP_S, Agent
+from gentianmux.leased.agent import MAINTENANCE_INTERVAL_S, Agent
 from gentianmux.leased.config_feed import ConfigFeed, ConfigSource
 from gentianmux.leased.entry import LOSS_CHECK_S, STEP_S, Entry
-from gentianmux.leased.entry_leases import REPORT_S
+from gentianmux.leased.entry_leases import REPORT_INTERVAL_S
 from gentianmux.leased.fleet_view import FleetView
+from gentianmux.leased.job_handle import JobHandle
 from gentianmux.leased.model import (
     EndpointReport,
     JobConfig,
@@ -32,7 +33,6 @@
 )
 from gentianmux.leased.resources import Resources
 from gentianmux.leased.settings import LeasedSettings, lease_s
-from gentianmux.leased.ticket import Ticket
 from gentianmux.messages import PROTOCOL_VERSION, Hello, Message
 from gentianmux.metrics import Metrics
 from gentianmux.platform_log import MemoryKeyedLog
@@ -80,7 +80,7 @@
     queue: QueueConfig
     at: float
     ideal_s: float
-    ticket: Ticket
+    handle: JobHandle
     ended_at: float = field(default=0.0)
 
 
@@ -115,7 +115,7 @@
     >>> world.run(1.0)
     >>> job = world.submit("e0", tasks=4, run_s=0.1)
     >>> world.run(1.0)
-    >>> job.ticket.verdict.outcome.value
+    >>> job.handle.result.outcome.value
     'completed'
     """
 
@@ -209,8 +209,8 @@
         agent = Agent(cfg, driver, links, self._feed(clock), metrics, clock)  # type: ignore[arg-type]
         machine.agent, machine.links = agent, links
         self.alive.add(me.process)
-        self.every(REPORT_S, me.process, agent.send_due)
-        self.every(UPKEEP_S, me.process, agent.check_chains)
+        self.every(REPORT_INTERVAL_S, me.process, agent.send_due_reports)
+        self.every(MAINTENANCE_INTERVAL_S, me.process, agent.check_chains)
         self.every(0.01, me.process, lambda: self._look(agent, driver))
 
     def stop_agent(self, name: str, grace_s: float = 5.3, back_s: float = 0.9) -> None:
@@ -220,20 +220,20 @@
         assert agent is not None
         until = self.time + grace_s
         process = self.process_of(name)
-        agent.begin_leaving(until)
+        agent.begin_shutdown(until)
 
         def end_when_left() -> None:
             if process != self.process_of(name) or process not in self.alive:
                 return
-            if agent.has_left() or self.time >= until:
+            if agent.is_drained() or self.time >= until:
                 self.kill(process)
                 self.at(back_s, "", self.start_agent, name)
 
         self.every(0.02, process, end_when_left)
 
     def _look(self, agent: Agent, driver: FakeDriver) -> None:
-        if agent.looks.endpoint and self.time >= driver.blocked_until:
-            agent.look()
+        if agent.poller.endpoint and self.time >= driver.blocked_until:
+            agent.poll()
 
     def start_entry(self, name: str) -> None:
         """Start an entry's process."""
@@ -251,7 +251,7 @@
         for machine in self.machines.values():
             # As announced in the store.
             cpu = machine.endpoint.capacity.cpu
-            view.expect(machine.name, "s", machine.domain, cpu, self.time)
+            view.expect_agent(machine.name, "s", machine.domain, cpu, self.time)
         self.alive.add(me.process)
         self.every(STEP_S, me.process, entry.step)
         self.every(LOSS_CHECK_S, me.process, entry.check_losses)
@@ -478,13 +478,13 @@
             self.works[f"{name}.0.0.{index}"] = (step, Work(each_s, failures))
         node = self.entries[entry]
         assert node.entry is not None
-        ticket = node.entry.submit(spec, queue, time_limit_s)
-        asked = Asked(spec, queue, self.time, run_s, ticket)
+        handle = node.entry.submit(spec, queue, time_limit_s)
+        asked = Asked(spec, queue, self.time, run_s, handle)
         self.asked.append(asked)
-        if ticket.verdict is not None:
+        if handle.result is not None:
             asked.ended_at = self.time
         else:
-            ticket.done = _EndNote(self, asked)
+            handle.done = _EndNote(self, asked)
         return asked
 
     def note_start(self, endpoint: FakeEndpoint, task: str, late: bool) -> None:
@@ -503,8 +503,8 @@
         """Jobs of which every submission was said not to have run, though a task has started."""
         answers: dict[str, set[str]] = defaultdict(set)
         for each in self.asked:
-            verdict = each.ticket.verdict
-            answers[each.spec.job_id].add("none" if verdict is None else verdict.outcome.value)
+            result = each.handle.result
+            answers[each.spec.job_id].add("none" if result is None else result.outcome.value)
         refused = [job_id for job_id, given in answers.items() if given == {"not_run"}]
         started = {task.partition(".")[0] for task in self.started}
         return [job_id for job_id in refused if job_id in started]
--- a/bench/world.py
+++ b/bench/world.py
@@ -13,16 +13,16 @@
 from gentianmux.codes import ResultCode
 from gentianmux.coordinator import Coordinator
 from gentianmux.dispatcher import TRY_AGAIN
-from gentianmux.endpoint_client import Run
+from gentianmux.endpoint_client import TaskOutcome
 from gentianmux.errors import LogError
 from gentianmux.executor import Executor
 from gentianmux.fleet_state import FleetState
 from gentianmux.follower import Follower
 from gentianmux.handlers import handle
 from gentianmux.ids import NO_TIME, shard_of
-from gentianmux.membership import State
+from gentianmux.membership import ProcessState
 from gentianmux.messages import Answer, MemberUpdate, Message, Submit, Task
-from gentianmux.node import announce
+from gentianmux.node import make_join
 from gentianmux.node_context import NodeContext
 from gentianmux.placement import Placement
 from gentianmux.platform_log import MemoryLog, Record
@@ -101,7 +101,7 @@
         self._world.deliver(self._process, process, msg)
         return True
 
-    def knock(self, process: str) -> None:
+    def ensure_connected(self, process: str) -> None:
         self._world.deliver(self._process, process, None)
 
     def is_connected(self, process: str) -> bool:
@@ -112,22 +112,22 @@
     """What a process thinks of others: right, but some time late."""
 
     isolated = False
-    heard: ClassVar[dict[str, Any]] = {}
+    peer_versions: ClassVar[dict[str, Any]] = {}
 
     def __init__(self, world: "World", process: str) -> None:
         self._world = world
         self._process = process
 
-    def state_of(self, process: str) -> State:
+    def state_of(self, process: str) -> ProcessState:
         silent_s = self._world.silent_s(self._process, process)
         if process in self._world.leaving and silent_s < SUSPECT_S:
-            return State.LEAVING
+            return ProcessState.LEAVING
         if silent_s < SUSPECT_S:
-            return State.ALIVE
-        return State.SUSPECT if silent_s < 2 * SUSPECT_S else State.DEAD
+            return ProcessState.ALIVE
+        return ProcessState.SUSPECT if silent_s < 2 * SUSPECT_S else ProcessState.DEAD
 
     def is_alive(self, process: str) -> bool:
-        return self.state_of(process) is State.ALIVE
+        return self.state_of(process) is ProcessState.ALIVE
 
     def alive(self, role: str = "") -> list[MemberUpdate]:
         nodes = [node for node in self._world.nodes.values() if self.is_alive(node.process)]
@@ -139,7 +139,7 @@
     def get(self, process: str) -> MemberUpdate | None:
         return None
 
-    def learn(self, joins: Any, now: float) -> None:
+    def add_joined(self, joins: Any, now: float) -> None:
         return
 
     def leave(self) -> None:
@@ -153,11 +153,11 @@
         cfg = world.cfg._replace(
             name=name, peer_address=f"10.0.0.{int(name[1:]) + 1}:1", failure_domain=f"fd{name[1:]}"
         )
-        me = announce(cfg, incarnation)
+        me = make_join(cfg, incarnation)
         self.name = name
         self.process = me.process
         self.ctx = NodeContext(cfg, me, FakeLog(world, name), FakeClock(world, me.process))
-        self.ctx.members = FakeMembers(world, me.process)  # type: ignore[assignment]
+        self.ctx.membership = FakeMembers(world, me.process)  # type: ignore[assignment]
         self.ctx.peers = FakePeers(world, me.process)  # type: ignore[assignment]
         ShardManager(self.ctx)
         Coordinator(self.ctx)
@@ -166,12 +166,12 @@
         self._world = world
         executor.launch = self._launch  # type: ignore[method-assign]
         Witness(self.ctx)
-        self.watch = StreamReader(self.ctx)
+        self.stream_reader = StreamReader(self.ctx)
         self.paused = False
         self.dead = False
         self.silent_since: float | None = None
         for period_s, step in (
-            (0.5, self.watch.read),
+            (0.5, self.stream_reader.read),
             (0.5, self.ctx.shard_manager.step),
             (0.2, self.ctx.coordinator.step),
             (1.0, self._react),
@@ -184,15 +184,15 @@
 
     def _react(self) -> None:
         self.ctx.witness.check_dead()
-        if self.ctx.read_soon.is_set():
-            self.ctx.read_soon.clear()
+        if self.ctx.read_requested.is_set():
+            self.ctx.read_requested.clear()
 
     def _launch(self, job: JobRecord, record: TaskRecord) -> None:
         world = self._world
         world.starts.append(Start(self.name, job.key, record.task.number, world.time))
-        run = Run(ResultCode.OK, record.task.payload)
+        run = TaskOutcome(ResultCode.OK, record.task.payload)
         run_s = world.run_time(self.name, record.task)
-        world.at(run_s, self.process, self.ctx.executor.on_ended, job, record, run)
+        world.at(run_s, self.process, self.ctx.executor.on_task_ended, job, record, run)
 
     def lost(self, process: str, refused: bool) -> None:
         """React to a lost connection as the real handlers do."""
--- a/src/gentianmux/caller_api.py
+++ b/src/gentianmux/caller_api.py
@@ -72,7 +72,7 @@
             "/metrics.json": {"GET": self._metrics},
             "/v1/explain/": {"GET": self._explain},
         }
-        if ctx.me.role == "agent":
+        if ctx.identity.role == "agent":
             operators_only = ("/healthz", "/readyz", "/metrics.json")
             self._routes = {path: self._routes[path] for path in operators_only}
 
@@ -138,13 +138,13 @@
             wait_s > 0,
         )
         ctx.metrics.count("requests")
-        self._limits.enter(member, ctx.now(), len(ctx.members.alive("entry")))
+        self._limits.acquire(member, ctx.now(), len(ctx.membership.alive("entry")))
         ctx.dispatcher.inflight += 1
         try:
             reply = ctx.dispatcher.submit(msg, wait_s)
         finally:
             ctx.dispatcher.inflight -= 1
-            self._limits.leave(member)
+            self._limits.release(member)
         ctx.metrics.count("answers", label=reply.code.label)
         logger.bind(job=msg.key, code=int(reply.code)).info("answered")
         return _to_response(reply, submission.job_id)
@@ -200,7 +200,7 @@
             "config_version": ctx.config.version,
             "fleet_version": ctx.fleet.version,
             "shards_owned": owned,
-            "agents": len(ctx.members.alive("agent")),
+            "agents": len(ctx.membership.alive("agent")),
         }
         return _json(200 if content["ready"] else 503, content)
 
--- a/src/gentianmux/conn.py
+++ b/src/gentianmux/conn.py
@@ -44,7 +44,7 @@
         self.opened = True
         self._wake.set()
 
-    def put(self, frame: bytes) -> bool:
+    def enqueue(self, frame: bytes) -> bool:
         """Queue a frame; false when the connection is closed or its outbox is full."""
         if self.closed or self._outbox_bytes + len(frame) > MAX_OUTBOX_BYTES:
             return False
@@ -57,7 +57,7 @@
         self._wake.set()
         return True
 
-    def write_out(self) -> None:
+    def write_loop(self) -> None:
         """Send what is in the outbox for as long as the connection is open."""
         while not self.closed:
             self._wake.wait()
@@ -85,7 +85,7 @@
             self._plain.close()
 
 
-def receive(sock: Any) -> Iterator[bytes]:
+def iter_received(sock: Any) -> Iterator[bytes]:
     """Yield what arrives until the peer closes."""
     while True:
         data = sock.recv(RECEIVE_BYTES)
@@ -94,16 +94,16 @@
         yield data
 
 
-def tune(sock: Any, unacked_ms: int = UNACKED_TIMEOUT_MS) -> None:
+def set_socket_options(sock: Any, unacked_ms: int = UNACKED_TIMEOUT_MS) -> None:
     """Send without delay and give up on a peer that acknowledges nothing."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacked_ms)
     sock.settimeout(None)
 
 
-def quietly(write_out: Callable[[], None]) -> None:
+def run_writer(write_loop: Callable[[], None]) -> None:
     """Run the writer of a connection; its reader reports why the connection ended."""
     try:
-        write_out()
+        write_loop()
     except OSError:
         return
--- a/src/gentianmux/coordinator.py
+++ b/src/gentianmux/coordinator.py
@@ -7,8 +7,8 @@
 from .codes import ResultCode
 from .errors import GentianmuxError
 from .job import Job, Phase, Waiter
-from .ledger import Ruling, Verdict
-from .membership import State
+from .ledger import AdmissionDecision, AdmissionResult
+from .membership import ProcessState
 from .messages import (
     Answer,
     Cancel,
@@ -61,19 +61,19 @@
             self._refuse(msg.key, refusal, waiter)
             return
         ledger = ctx.shard_manager.owned[shard].ledger
-        ruling = ledger.rule(msg.key, msg.digest, msg.submitted_ms, ctx.now_ms())
-        self.apply_ruling(ruling, msg, waiter)
+        ruling = ledger.check(msg.key, msg.digest, msg.submitted_ms, ctx.now_ms())
+        self.apply_admission(ruling, msg, waiter)
 
-    def apply_ruling(self, ruling: Ruling, msg: Submit, waiter: Waiter) -> None:
+    def apply_admission(self, ruling: AdmissionResult, msg: Submit, waiter: Waiter) -> None:
         """Carry out what the ledger said."""
-        if ruling.verdict is Verdict.ADMIT:
+        if ruling.decision is AdmissionDecision.ADMIT:
             self._admit(msg, waiter, ruling.attempt)
-        elif ruling.verdict is Verdict.JOIN:
+        elif ruling.decision is AdmissionDecision.JOIN:
             self._join(msg.key, msg.wait, waiter)
-        elif ruling.verdict is Verdict.KEPT:
+        elif ruling.decision is AdmissionDecision.KEPT:
             self._answer(msg.key, ruling.code, ruling.answer, [waiter])
-        elif ruling.verdict is Verdict.ASK:
-            self._ctx.shard_manager.ask_traces(msg, waiter)
+        elif ruling.decision is AdmissionDecision.ASK:
+            self._ctx.shard_manager.query_traces(msg, waiter)
         else:
             self._refuse(msg.key, ruling.code, waiter)
 
@@ -112,7 +112,9 @@
         if len(self.trails) > MAX_TRAILS:
             del self.trails[next(iter(self.trails))]
 
-    def resume(self, msg: Submit, waiter: Waiter, traces: dict[str, Trace], whole: bool) -> None:
+    def resume_job(
+        self, msg: Submit, waiter: Waiter, traces: dict[str, Trace], whole: bool
+    ) -> None:
         """Go on with a job that an earlier owner began, from the traces of its tasks.
 
         Tasks without a trace start now when every agent that could hold one has answered
@@ -142,12 +144,12 @@
         if refusal is not None:
             self._refuse(msg.key, refusal, waiter)
             return
-        ruling = self._ctx.shard_manager.owned[shard].ledger.kept(msg.key)
+        ruling = self._ctx.shard_manager.owned[shard].ledger.lookup(msg.key)
         if ruling is None:
             self._refuse(msg.key, ResultCode.JOB_UNKNOWN, waiter)
-        elif ruling.verdict is Verdict.JOIN:
+        elif ruling.decision is AdmissionDecision.JOIN:
             self._join(msg.key, msg.wait, waiter)
-        elif ruling.verdict is Verdict.KEPT:
+        elif ruling.decision is AdmissionDecision.KEPT:
             self._answer(msg.key, ruling.code, ruling.answer, [waiter])
         else:
             code = ruling.code if ruling.code is not ResultCode.OK else ResultCode.TASK_NOT_RUN
@@ -165,7 +167,7 @@
         job.end_waiting(ResultCode.CANCELLED)
         self._ctx.placement.backlog.pop(job.key, None)
         for agent in sorted(job.agents()):
-            self._ctx.shard_manager.revoke_soon(agent, job.key)
+            self._ctx.shard_manager.schedule_revoke(agent, job.key)
         self._finish_if_done(job)
 
     def on_explain(self, msg: Explain, waiter: Waiter) -> None:
@@ -218,7 +220,7 @@
             self._ctx.metrics.count("wasted", label=f"refused_{code.label}")
         else:
             self._ctx.placement.loads[sender].served()
-            self._ctx.placement.on_ended(sender, job.service, ResultCode(result.code))
+            self._ctx.placement.on_task_ended(sender, job.service, ResultCode(result.code))
 
     def _finish_if_done(self, job: Job) -> None:
         if job.open or job.key not in self.jobs:
@@ -255,7 +257,7 @@
 
     # Losses
 
-    def on_farewell(self, msg: Farewell, sender: str) -> None:
+    def on_shutdown_notice(self, msg: Farewell, sender: str) -> None:
         """Send a leaving agent nothing more, and tell it once it holds none of our tasks."""
         self._ctx.placement.leaving.add(sender)
         self._ctx.placement.forget(sender)
@@ -277,7 +279,7 @@
         since = self._lost_since.setdefault(process, self._ctx.now())
         if refused:
             # The log may say that the agent left as planned; time to read it is given first.
-            self._ctx.read_soon.set()
+            self._ctx.read_requested.set()
             self._ctx.clock.call_later(READ_S, self._end_all_lost, process)
         elif self._ctx.now() - since > LOST_AFTER_S:
             self._end_all_lost(process)
@@ -310,7 +312,7 @@
         self._ctx.placement.place(job)
         self._finish_if_done(job)
 
-    def run_backlog(self) -> None:
+    def run_backlog_loop(self) -> None:
         """Place what waits and end what is past its time, for as long as the process lives."""
         while True:
             gevent.sleep(RETRY_S)
@@ -345,10 +347,10 @@
         """Give up tasks at agents that have been thought dead for long."""
         holding = {agent for job in self.jobs.values() for agent in job.agents()}
         for agent in list(self._lost_since):
-            if agent not in holding or self._ctx.members.is_alive(agent):
+            if agent not in holding or self._ctx.membership.is_alive(agent):
                 del self._lost_since[agent]
         for agent in sorted(holding):
-            if self._ctx.members.state_of(agent) in (State.DEAD, None):
+            if self._ctx.membership.state_of(agent) in (ProcessState.DEAD, None):
                 self.on_lost(agent, opened=True, refused=False)
 
     # Answers
--- a/src/gentianmux/executor.py
+++ b/src/gentianmux/executor.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from .codes import ResultCode
-from .endpoint_client import EndpointClient, Run, task_name
+from .endpoint_client import EndpointClient, TaskOutcome, task_name
 from .fair_queue import FairQueue
 from .messages import (
     Decline,
@@ -116,16 +116,16 @@
         """Whether no task runs or waits."""
         return self.load == 0
 
-    def say_farewell(self) -> bool:
+    def send_shutdown_notices(self) -> bool:
         """Ask every coordinator to be done with this agent; true once all of them are.
 
         A frame that is still on its way here is thereby answered before this process ends, so
         its tasks are known not to have run.
         """
         ctx = self._ctx
-        others = {each.process for each in ctx.members.alive("agent")}
+        others = {each.process for each in ctx.membership.alive("agent")}
         known = {job.coordinator for job in self.records.jobs.values()}
-        others |= {process for process in known if ctx.members.is_alive(process)}
+        others |= {process for process in known if ctx.membership.is_alive(process)}
         left = others - self._farewells - {ctx.process}
         if ctx.now() - self._asked_farewell > FAREWELL_AGAIN_S:
             self._asked_farewell = ctx.now()
@@ -133,7 +133,7 @@
                 ctx.peers.send(process, Farewell(ctx.process))
         return not left
 
-    def on_farewell_reply(self, msg: FarewellReply) -> None:
+    def on_shutdown_notice_reply(self, msg: FarewellReply) -> None:
         """Note that a coordinator is done with this agent."""
         self._farewells.add(msg.process)
 
@@ -158,21 +158,23 @@
         """Note who holds this agent's start records now."""
         self._records_held_by = msg.process
 
-    def run_renewals(self) -> None:
+    def run_lease_renewals(self) -> None:
         """Renew the leases of long tasks for as long as the process lives."""
         period_s = self._ctx.cfg.task_lease_ms / 1000 / RENEWALS_A_LEASE
         while True:
             gevent.sleep(period_s)
             now = self._ctx.now()
             names = [
-                name for name, (_, record) in self.running.items() if now - record.since > period_s
+                name
+                for name, (_, record) in self.running.items()
+                if now - record.state_since > period_s
             ]
             if names:
                 self._ctx.clock.call_soon(self._endpoint.renew, names)
 
     def _may_run(self, member: str) -> bool:
         """Whether a member holds fewer slots here than its part of its claim."""
-        part = self._ctx.claims.part(member, self._ctx.me.name, self._ctx.now())
+        part = self._ctx.claims.slot_limit(member, self._ctx.identity.name, self._ctx.now())
         return part is None or self._held[member] < part
 
     def _weight(self, member: str) -> int:
@@ -214,7 +216,7 @@
         self._end_offer(msg.number)
 
     def _offer(self, member: str, reservation: Reservation) -> None:
-        if not self._ctx.members.is_alive(reservation.coordinator):
+        if not self._ctx.membership.is_alive(reservation.coordinator):
             return
         self._next_offer += 1
         number = self._next_offer
@@ -271,12 +273,12 @@
             run = self._endpoint.run(job, record.task, self._time_left_s(job))
         except Exception as exc:
             logger.bind(job=job.key, code=int(ResultCode.INTERNAL)).exception("task failed")
-            run = Run(ResultCode.TASK_UNKNOWN, type(exc).__name__)
-        self.on_ended(job, record, run)
+            run = TaskOutcome(ResultCode.TASK_UNKNOWN, type(exc).__name__)
+        self.on_task_ended(job, record, run)
 
-    def on_ended(self, job: JobRecord, record: TaskRecord, run: Run) -> None:
+    def on_task_ended(self, job: JobRecord, record: TaskRecord, run: TaskOutcome) -> None:
         """Take in how a task ended."""
-        ran_ms = (self._ctx.now() - record.since) * 1000
+        ran_ms = (self._ctx.now() - record.state_since) * 1000
         result = TaskResult(
             record.task.number, record.attempt, int(run.code), run.output, 0.0, ran_ms
         )
@@ -294,9 +296,9 @@
         return min(longest_s, max(0.001, (job.deadline_ms - self._ctx.now_ms()) / 1000))
 
     def _flush(self, job: JobRecord, at_once: bool = False) -> None:
-        if not job.unsent or (job.open and not job.eager and not at_once):
+        if not job.unsent or (job.open_count and not job.eager and not at_once):
             return
-        if job.open and not at_once:
+        if job.open_count and not at_once:
             self._flush_later(job)
             return
         results, job.unsent = job.unsent, []
--- a/src/gentianmux/handlers.py
+++ b/src/gentianmux/handlers.py
@@ -140,22 +140,22 @@
 
 @handle.register
 def _(msg: Farewell, ctx: NodeContext, sender: str) -> None:
-    ctx.coordinator.on_farewell(msg, sender)
+    ctx.coordinator.on_shutdown_notice(msg, sender)
 
 
 @handle.register
 def _(msg: FarewellReply, ctx: NodeContext, sender: str) -> None:
-    ctx.executor.on_farewell_reply(msg)
+    ctx.executor.on_shutdown_notice_reply(msg)
 
 
 @handle.register
 def _(msg: StatePull, ctx: NodeContext, sender: str) -> None:
-    ctx.watch.on_pull(msg, sender)
+    ctx.stream_reader.on_pull(msg, sender)
 
 
 @handle.register
 def _(msg: StateBody, ctx: NodeContext, sender: str) -> None:
-    ctx.watch.on_body(msg)
+    ctx.stream_reader.on_body(msg)
 
 
 @handle.register
@@ -172,9 +172,9 @@
     """Tell the controllers that a connection closed."""
     if ctx.is_agent:
         ctx.coordinator.on_lost(process, conn.opened, conn.refused)
-    if ctx.me.role != "agent":
+    if ctx.identity.role != "agent":
         ctx.dispatcher.on_lost(process, conn.opened)
     if conn.refused:
         ctx.witness.on_refused(process)
     elif conn.opened:
-        ctx.peers.knock(process)
+        ctx.peers.ensure_connected(process)
--- a/src/gentianmux/leased/admitting.py
+++ b/src/gentianmux/leased/admission_controller.py
@@ -12,13 +12,13 @@
     wait_s,
 )
 from .entry_context import EntryContext
-from .job_state import JobState, Prospect
+from .job_state import JobState, Timeliness
 
 NO_AGENT_S = 0.5
 """Seconds a job waits while no agent serves its service at all: a restarted agent needs less."""
 
 
-class Admitting:
+class AdmissionController:
     """Decides the backlog of an entry, service by service.
 
     Parameters
@@ -50,7 +50,7 @@
     def _decide_service(self, service: str, admission: Admission, now: float) -> None:
         view = self._ctx.view
         entries = max(1, view.entries(now))
-        jobs = self._ctx.backlog.of(service)
+        jobs = self._ctx.backlog.get_or_add(service)
         capacity = view.capacity_cpu(service, now) / entries
         if self._ctx.window.is_limiting(now):
             # More cannot be sent, however many endpoints stand idle.
@@ -71,9 +71,9 @@
 
     def _carry_out(self, decision: Decision, now: float, entries: int) -> None:
         for job in decision.kept:
-            job.prospect = Prospect.TIMELY
+            job.timeliness = Timeliness.TIMELY
         for job in decision.late:
-            job.prospect = Prospect.LATE
+            job.timeliness = Timeliness.LATE
             self._ctx.metrics.count("jobs_late_decided")
             logger.bind(
                 job=job.spec.job_id,
@@ -81,7 +81,7 @@
                 useful_ms=round((job.last_useful_start - now) * 1000),
             ).info("late service decided")
         for job in decision.given_up:
-            self._ctx.metrics.count("jobs_kept_in_vain", label=job.prospect.value)
+            self._ctx.metrics.count("jobs_kept_in_vain", label=job.timeliness.value)
             self._ctx.give_up(job, "waited until its answer would be of no use")
         for job, load in decision.refused:
             logger.bind(
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -25,14 +25,14 @@
 from .agent_context import AgentContext
 from .config_feed import ConfigFeed
 from .config_transfer import ConfigTransfer
+from .endpoint_health import EndpointHealth
 from .endpoint_poller import EndpointPoller, LookHooks
 from .endpoint_tracker import EndpointTracker, TrackerHooks
-from .entry_leases import REPORT_S
-from .entry_reports import EntryReports, Load
+from .entry_leases import REPORT_INTERVAL_S
+from .entry_reporter import EntryReports, Load
 from .evacuation_broadcast import EvacuationBroadcast
 from .evacuations import Evacuations
 from .grants import LATE_RESERVE
-from .health import EndpointHealth
 from .links import Links
 from .model import (
     EndpointDriver,
@@ -41,13 +41,13 @@
 )
 from .payloads import unpack
 from .resources import Resources
-from .run_starts import RunStarts
-from .run_stops import RunStops
+from .run_monitor import RunWatch
+from .run_starter import RunStarts
+from .run_stopper import RunStops
 from .run_table import Finished, RunTable
-from .run_watch import RunWatch
 from .settings import LeasedSettings
 
-UPKEEP_S = REPORT_S / 2
+MAINTENANCE_INTERVAL_S = REPORT_INTERVAL_S / 2
 """Seconds between checks of the entries' leases and of reports that are due, while something runs.
 One loop of 16 turns a second took the place of three of 38: a turn that does nothing costs some
 80 us of processor."""
@@ -79,7 +79,7 @@
     Examples
     --------
     ``agent.on_report(report)`` takes an endpoint's heartbeat, ``agent.run_loops()`` spawns what
-    runs for as long as the process lives, ``agent.leave(deadline)`` ends it without loss.
+    runs for as long as the process lives, ``agent.shut_down(deadline)`` ends it without loss.
     """
 
     def __init__(
@@ -93,10 +93,12 @@
     ) -> None:
         ctx = AgentContext(cfg, driver, links, feed, metrics, clock)
         self._ctx = ctx
-        self._handing = ConfigTransfer(feed, links, clock)
-        self._sharing = EvacuationBroadcast(feed.evacuations, links, self._on_evacuations)
+        self._config_transfer = ConfigTransfer(feed, links, clock)
+        self._evacuation_broadcast = EvacuationBroadcast(
+            feed.evacuations, links, self._on_evacuations
+        )
         self._idle_since: float | None = None
-        self.on_endpoint: Callable[[EndpointReport | None], None] = lambda report: None
+        self.on_report_change: Callable[[EndpointReport | None], None] = lambda report: None
         self._stops = RunStops(ctx)
         self._starts = RunStarts(ctx, self._stops)
         self._watch = RunWatch(ctx, self._stops)
@@ -110,7 +112,7 @@
             self._on_looked,
             self._on_silence,
         )
-        ctx.looks = EndpointPoller(driver, ctx.table, metrics, clock, ctx.lease_s, hooks)
+        ctx.poller = EndpointPoller(driver, ctx.table, metrics, clock, ctx.lease_s, hooks)
         ctx.reports = EntryReports(links, clock, self._load, ctx.has_runs_of)
         self._chain = ctx.reports.chain
         links.on_open = self._on_open
@@ -130,9 +132,9 @@
         return self._ctx.tracker
 
     @property
-    def looks(self) -> EndpointPoller:
+    def poller(self) -> EndpointPoller:
         """What looks at the endpoint."""
-        return self._ctx.looks
+        return self._ctx.poller
 
     @property
     def table(self) -> RunTable:
@@ -150,11 +152,11 @@
         if self.report is report and report.draining:
             self._watch.move_what_cannot_end(report.drain_remaining_s)
 
-    def on_unreadable(self, endpoint: str, reason: str) -> None:
+    def on_unreadable_heartbeat(self, endpoint: str, reason: str) -> None:
         """Pass over a heartbeat that says nothing usable."""
         self._ctx.tracker.unreadable(endpoint, reason)
 
-    def on_left(self, endpoint: str, born: int = 0) -> None:
+    def on_shutdown_notice(self, endpoint: str, born: int = 0) -> None:
         """Take in an endpoint's word that it ends; ``born`` is 0 where its start is not told."""
         self._follow(self._ctx.tracker.farewell, endpoint, born)
 
@@ -170,9 +172,9 @@
         """Follow another life of the endpoint, or none: what was known of the last one ends."""
         self._ctx.health = EndpointHealth()
         if endpoint:
-            self._ctx.looks.turn_to(endpoint)
+            self._ctx.poller.turn_to(endpoint)
         else:
-            self._ctx.looks.turn_away()
+            self._ctx.poller.stop_offering()
         self._ctx.end_all(finished)
 
     def _on_news(self, report: EndpointReport | None) -> None:
@@ -180,7 +182,7 @@
             self._ctx.reports.grants.late_reserve = Resources(
                 int(report.capacity.cpu * LATE_RESERVE)
             )
-        self.on_endpoint(report)
+        self.on_report_change(report)
 
     @property
     def is_accepting(self) -> bool:
@@ -190,19 +192,23 @@
     def run_loops(self) -> list[gevent.Greenlet]:
         """Spawn the loops of this controller."""
         return [
-            gevent.spawn(self._ctx.looks.run),
+            gevent.spawn(self._ctx.poller.run),
             gevent.spawn(run_periodically, 0.0, self._keep_up),
         ]
 
     def _keep_up(self) -> None:
         """Check the chains and report, and wait for the next turn: at rest no run depends on it."""
         self.check_chains()
-        self.send_due()
-        gevent.sleep(UPKEEP_S if self._ctx.table.runs or self._ctx.table.foreign else REPORT_S)
+        self.send_due_reports()
+        gevent.sleep(
+            MAINTENANCE_INTERVAL_S
+            if self._ctx.table.runs or self._ctx.table.foreign
+            else REPORT_INTERVAL_S
+        )
 
-    def look(self) -> bool:
+    def poll(self) -> bool:
         """Look at the endpoint once, renewing its lease; false when it did not answer."""
-        return self._ctx.looks.look()
+        return self._ctx.poller.poll()
 
     def _on_looked(self, finished: list[Finished], clean_changed: bool) -> None:
         """Act on a look: report ends, stop what stands still, offer the room that is free."""
@@ -230,7 +236,7 @@
     @on_message.register
     def _(self, msg: Assign, entry: str) -> None:
         now = self._ctx.clock.now()
-        self._chain.echoed(entry, msg.echo)
+        self._chain.record_echo(entry, msg.echo)
         self._ctx.reports.applied[entry] = max(msg.number, self._ctx.reports.applied.get(entry, 0))
         fresh = self._chain.holds(entry, now)
         refused = False
@@ -268,14 +274,14 @@
 
     @on_message.register
     def _(self, msg: LoadEcho, entry: str) -> None:
-        self._chain.echoed(entry, msg.number)
+        self._chain.record_echo(entry, msg.number)
         self._ctx.reports.seen(entry, msg.seen)
         self._ctx.reports.claimed(entry, msg.claims, msg.gives_back)
-        self._handing.heard_of(entry, msg.config_version)
+        self._config_transfer.on_version(entry, msg.config_version)
 
     @on_message.register
     def _(self, msg: Evacuated, entry: str) -> None:
-        self._sharing.take(msg, entry)
+        self._evacuation_broadcast.take(msg, entry)
 
     def _on_evacuations(self, _evacuations: Evacuations) -> None:
         self._tell_state()
@@ -283,11 +289,11 @@
 
     @on_message.register
     def _(self, msg: ConfigWanted, entry: str) -> None:
-        self._handing.wanted(msg, entry)
+        self._config_transfer.on_wanted(msg, entry)
 
     @on_message.register
     def _(self, msg: ConfigPiece, entry: str) -> None:
-        self._handing.take(msg, entry)
+        self._config_transfer.take(msg, entry)
 
     def check_chains(self) -> None:
         """Stop the runs of entries that no longer echo, and open connections in place of silent
@@ -296,9 +302,9 @@
         self._stops.stop_unechoed()
         for entry in self._ctx.links.processes():
             if self._chain.is_quiet(entry, now, self._ctx.has_runs_of(entry)):
-                self._ctx.links.renew(entry)
+                self._ctx.links.reconnect(entry)
         self._ctx.reports.forget_silent(now)
-        self._ctx.links.close_silent()
+        self._ctx.links.close_idle()
 
     # Ends
 
@@ -310,7 +316,7 @@
         entry = hello.process
         held = [RunRef(*run.key) for run in self._ctx.table.of_entry(entry)]
         held += [RunRef(*key) for key in sorted(self._starts.replacing)]
-        self._sharing.greet(entry)
+        self._evacuation_broadcast.send_to(entry)
         self._ctx.links.send(entry, self._state())
         self._ctx.links.send(entry, Holding(self._ctx.reports.applied.get(entry, 0), held))
         self._ctx.reports.resend_ended(entry)
@@ -340,12 +346,12 @@
         for entry in self._ctx.links.processes():
             self._ctx.links.send(entry, self._state())
 
-    def turn_away(self, entries: set[str]) -> set[str]:
+    def stop_offering(self, entries: set[str]) -> set[str]:
         """Offer some entries no room any more; those of them that run nothing here."""
         idle = {
-            entry for entry in entries & self._ctx.reports.turned_away if not self._serves(entry)
+            entry for entry in entries & self._ctx.reports.not_offered if not self._serves(entry)
         }
-        self._ctx.reports.turned_away = entries - idle
+        self._ctx.reports.not_offered = entries - idle
         return idle
 
     def _serves(self, entry: str) -> bool:
@@ -364,13 +370,13 @@
         """Report the room on offer to every entry."""
         self._ctx.reports.send_load()
 
-    def send_due(self) -> None:
+    def send_due_reports(self) -> None:
         """Report the room on offer to the entries whose turn it is."""
-        self._ctx.reports.send_due()
+        self._ctx.reports.send_due_reports()
 
     # Leaving
 
-    def begin_leaving(self, until: float) -> None:
+    def begin_shutdown(self, until: float) -> None:
         """Begin only what can be expected to end before ``until``.
 
         The endpoint is then used nearly up to the end, instead of idling beside its longest run:
@@ -380,7 +386,7 @@
         self._ctx.leaves_at = until
         self.send_load()
 
-    def has_left(self) -> bool:
+    def is_drained(self) -> bool:
         """Whether nothing runs any more; from the first such moment on, nothing begins."""
         if self._ctx.table.runs or self._starts.replacing:
             return False
@@ -392,10 +398,10 @@
             self.send_load()
         return now - self._idle_since > LAST_ORDERS_S
 
-    def leave(self, until: float) -> None:
+    def shut_down(self, until: float) -> None:
         """Let what runs end, and move the rest before ``until``."""
-        self.begin_leaving(until)
-        while not self.has_left() and self._ctx.clock.now() < until:
+        self.begin_shutdown(until)
+        while not self.is_drained() and self._ctx.clock.now() < until:
             gevent.sleep(0.02)
         self._ctx.leaves_at = self._ctx.clock.now()
         self._tell_state()
--- a/src/gentianmux/leased/config_transfer.py
+++ b/src/gentianmux/leased/config_transfer.py
@@ -52,8 +52,8 @@
 
     Examples
     --------
-    ``handing.heard_of("e1.5", 7)`` when a peer says that it has version 7;
-    ``handing.wanted(msg, "e1.5")`` and ``handing.take(msg, "e1.5")`` for what it sends.
+    ``handing.on_version("e1.5", 7)`` when a peer says that it has version 7;
+    ``handing.on_wanted(msg, "e1.5")`` and ``handing.take(msg, "e1.5")`` for what it sends.
     """
 
     def __init__(self, feed: ConfigFeed, links: Links, clock: Clock) -> None:
@@ -65,7 +65,7 @@
         self._sending = False
         self._packed: tuple[int, bytes] = (-1, b"")
 
-    def heard_of(self, process: str, version: int) -> None:
+    def on_version(self, process: str, version: int) -> None:
         """Ask a peer for its configuration if it is newer, and nobody is being asked."""
         if version <= self._feed.version:
             return
@@ -103,9 +103,9 @@
         except zlib.error as exc:
             logger.bind(peer=process, reason=str(exc)).error("configuration unreadable")
             return
-        self._feed.offered(raw, f"peer {process}")
+        self._feed.apply_if_newer(raw, f"peer {process}")
 
-    def wanted(self, msg: ConfigWanted, process: str) -> None:
+    def on_wanted(self, msg: ConfigWanted, process: str) -> None:
         """Give a peer the piece that it asks for, in its turn."""
         self._asked = deque(each for each in self._asked if each[0] != process)
         offset = msg.offset if msg.version == self._feed.version else 0
--- a/src/gentianmux/leased/directory.py
+++ b/src/gentianmux/leased/directory.py
@@ -12,7 +12,15 @@
 from ..errors import LogError
 from ..metrics import Metrics
 from ..platform_log import KeyedLog
-from ..typed_json import flag, number, read_object, table, text, texts, whole
+from ..typed_json import (
+    get_bool,
+    get_int,
+    get_number,
+    get_object,
+    get_str,
+    get_str_list,
+    read_object,
+)
 from .config_feed import AGAIN_S, WATCH_S
 from .model import EndpointReport
 from .resources import Resources
@@ -44,12 +52,12 @@
     """Read an announcement; None, with a log line, when it cannot be read."""
     try:
         content = read_object(value)
-        role, address = text(content, "role"), text(content, "address")
+        role, address = get_str(content, "role"), get_str(content, "address")
         if role not in ROLES:
             raise ValueError(f"role {role[:40]!r} is not known")
         _check_address(address)
         has_report = content.get("report") is not None
-        report = _decode_report(table(content, "report")) if has_report else None
+        report = _decode_report(get_object(content, "report")) if has_report else None
         return Announcement(name, role, address, report)
     except ValueError as exc:
         logger.bind(peer=name[:100], reason=str(exc)).warning("announcement unreadable")
@@ -73,16 +81,16 @@
         raise ValueError("capacity is no list of amounts")
     amounts = dict(zip(Resources._fields, room, strict=True))
     return EndpointReport(
-        endpoint=text(report, "endpoint"),
-        address=text(report, "address"),
-        service=text(report, "service"),
-        failure_domain=text(report, "failure_domain"),
-        capacity=Resources(*(whole(amounts, name) for name in Resources._fields)),
-        labels=texts(report, "labels"),
-        draining=flag(report, "draining"),
-        drain_remaining_s=number(report, "drain_remaining_s"),
-        sequence=whole(report, "sequence"),
-        born=whole(report, "born", 0),
+        endpoint=get_str(report, "endpoint"),
+        address=get_str(report, "address"),
+        service=get_str(report, "service"),
+        failure_domain=get_str(report, "failure_domain"),
+        capacity=Resources(*(get_int(amounts, name) for name in Resources._fields)),
+        labels=get_str_list(report, "labels"),
+        draining=get_bool(report, "draining"),
+        drain_remaining_s=get_number(report, "drain_remaining_s"),
+        sequence=get_int(report, "sequence"),
+        born=get_int(report, "born", 0),
     )
 
 
--- a/src/gentianmux/leased/endpoint_poller.py
+++ b/src/gentianmux/leased/endpoint_poller.py
@@ -89,7 +89,7 @@
 
     Examples
     --------
-    ``looks.turn_to("i-7f3a91c2")`` and then ``looks.run()`` in a greenlet, or ``looks.look()``.
+    ``poller.turn_to("i-7f3a91c2")`` and then ``poller.run()`` in a greenlet, or ``poller.poll()``.
     """
 
     def __init__(
@@ -121,7 +121,7 @@
         self.answering = False
         self._attached.set()
 
-    def turn_away(self) -> None:
+    def stop_offering(self) -> None:
         """Look at nothing until there is another life."""
         self.endpoint = ""
         self.answering = False
@@ -133,10 +133,10 @@
 
     def _look_or_pause(self) -> None:
         self._attached.wait()
-        if not self.look():
+        if not self.poll():
             gevent.sleep(SILENCE_PAUSE_S)
 
-    def look(self) -> bool:
+    def poll(self) -> bool:
         """Look at the endpoint once, renewing its lease; false when it did not answer."""
         self._hooks.before()
         clean = self._table.is_clean
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -18,22 +18,22 @@
     Message,
 )
 from ..metrics import Metrics
-from .admitting import Admitting
+from .admission_controller import AdmissionController
 from .config_feed import ConfigFeed
 from .config_transfer import ConfigTransfer
 from .entry_context import EntryContext
-from .entry_leases import ECHO_GAP_S
+from .entry_leases import MIN_ECHO_INTERVAL_S
 from .evacuation_broadcast import EvacuationBroadcast
 from .evacuations import Evacuations
 from .fleet_view import FleetView
+from .job_handle import JobHandle, JobResult
 from .job_state import JobOutcome, JobState, longest_chain_s
-from .leaving import ends_in_time
 from .links import Links
 from .model import JobSpec, QueueConfig, RunOutcome
-from .placing import Placing
+from .placing import Placer
 from .resources import NO_RESOURCES
-from .run_ends import RunEnds
-from .ticket import Ticket, Verdict
+from .run_completions import RunCompletions
+from .shutdown import finishes_before_shutdown
 
 STEP_S = 0.01
 """Seconds between checks of deadlines and refusals, a quarter of the time in which the shortest
@@ -83,11 +83,13 @@
         link_bytes_s: float = 0.0,
     ) -> None:
         self._ctx = EntryContext(view, links, feed, metrics, clock, link_bytes_s)
-        self._handing = ConfigTransfer(feed, links, clock)
-        self._sharing = EvacuationBroadcast(feed.evacuations, links, self._on_evacuations)
-        self._ends = RunEnds(self._ctx)
-        self._admitting = Admitting(self._ctx)
-        self._placer = Placing(self._ctx, self._ends, self._admitting.admissions)
+        self._config_transfer = ConfigTransfer(feed, links, clock)
+        self._evacuation_broadcast = EvacuationBroadcast(
+            feed.evacuations, links, self._on_evacuations
+        )
+        self._ends = RunCompletions(self._ctx)
+        self._admitting = AdmissionController(self._ctx)
+        self._placer = Placer(self._ctx, self._ends, self._admitting.admissions)
         self.leaving = False
         self._shutdown_at = float("inf")
         self._idle_since: float | None = None
@@ -96,7 +98,7 @@
         links.on_message = self.on_message
 
     @property
-    def jobs(self) -> dict[str, Ticket]:
+    def jobs(self) -> dict[str, JobHandle]:
         """Jobs at work here, by their ids."""
         return self._ctx.jobs
 
@@ -108,7 +110,7 @@
 
     # Jobs
 
-    def submit(self, spec: JobSpec, queue: QueueConfig, time_limit_s: float) -> Ticket:
+    def submit(self, spec: JobSpec, queue: QueueConfig, time_limit_s: float) -> JobHandle:
         """Admit a job, or join the one of the same id that is at work here."""
         running = self._ctx.jobs.get(spec.job_id)
         if running is not None:
@@ -116,13 +118,13 @@
             return running
         now = self._ctx.clock.now()
         job = JobState(spec, queue, now, now + time_limit_s)
-        ticket = Ticket(job)
-        self._ctx.jobs[spec.job_id] = ticket
+        handle = JobHandle(job)
+        self._ctx.jobs[spec.job_id] = handle
         self._ctx.backlog.put(job)
         self._ctx.metrics.count("jobs_admitted")
         self._admitting.admissions[queue.service].arrived(job, now)
         self._placer.place()
-        return ticket
+        return handle
 
     def now(self) -> float:
         """Monotonic time in seconds, as deadlines of jobs are counted."""
@@ -135,14 +137,14 @@
 
     def cancel(self, job_id: str) -> bool:
         """Cancel a job; false when none of this id is at work here."""
-        ticket = self._ctx.jobs.get(job_id)
-        if ticket is not None:
-            self._ctx.finish(ticket.job, Verdict(JobOutcome.CANCELLED, "cancelled by its caller"))
-        return ticket is not None
+        handle = self._ctx.jobs.get(job_id)
+        if handle is not None:
+            self._ctx.finish(handle.job, JobResult(JobOutcome.CANCELLED, "cancelled by its caller"))
+        return handle is not None
 
-    def abandon(self, ticket: Ticket, reason: str) -> None:
+    def abandon(self, handle: JobHandle, reason: str) -> None:
         """Stop a job that nobody waits for any more."""
-        self._ctx.finish(ticket.job, Verdict(JobOutcome.UNKNOWN, reason))
+        self._ctx.finish(handle.job, JobResult(JobOutcome.UNKNOWN, reason))
 
     # Messages of agents
 
@@ -153,24 +155,24 @@
 
     @on_message.register
     def _(self, msg: AgentLoad, agent: str) -> None:
-        view = self._ctx.view.of(agent)
+        view = self._ctx.view.get_or_add(agent)
         now = self._ctx.clock.now()
-        view.take_load(msg, now)
+        view.apply_report(msg, now)
         self._ctx.window.told(agent, msg.applied, now)
-        self._handing.heard_of(agent, msg.config_version)
+        self._config_transfer.on_version(agent, msg.config_version)
         if view.free.cpu > 0:
             self._placer.call_soon()
         # Room that is granted to what no longer waits is for another entry.
         gives_back = not self._ctx.backlog and bool(view.told)
-        if gives_back or self._ctx.clock.now() - view.echoed_at >= ECHO_GAP_S:
+        if gives_back or self._ctx.clock.now() - view.echoed_at >= MIN_ECHO_INTERVAL_S:
             self._ctx.echo(view)
 
     @on_message.register
     def _(self, msg: EndpointState, agent: str) -> None:
-        view = self._ctx.view.of(agent)
+        view = self._ctx.view.get_or_add(agent)
         before = view.state
         view.state = msg
-        view.heard_at = self._ctx.clock.now()
+        view.last_heard_at = self._ctx.clock.now()
         if before != msg:
             logger.bind(
                 peer=agent, endpoint=msg.incarnation, accepting=msg.accepting, service=msg.service
@@ -183,7 +185,7 @@
     def _(self, msg: EndedRuns, agent: str) -> None:
         for row in msg.runs:
             self._ends.take(agent, row.task, row.run, RunOutcome(row.how))
-        view = self._ctx.view.of(agent)
+        view = self._ctx.view.get_or_add(agent)
         if msg.runs:
             view.seen = max(view.seen, msg.runs[-1].number)
         if view.is_leaving:
@@ -197,15 +199,15 @@
 
     @on_message.register
     def _(self, msg: ConfigWanted, agent: str) -> None:
-        self._handing.wanted(msg, agent)
+        self._config_transfer.on_wanted(msg, agent)
 
     @on_message.register
     def _(self, msg: ConfigPiece, agent: str) -> None:
-        self._handing.take(msg, agent)
+        self._config_transfer.take(msg, agent)
 
     @on_message.register
     def _(self, msg: Evacuated, agent: str) -> None:
-        self._sharing.take(msg, agent)
+        self._evacuation_broadcast.take(msg, agent)
 
     def _on_evacuations(self, evacuations: Evacuations) -> None:
         self._ctx.view.evacuated = evacuations.failure_domains
@@ -215,11 +217,11 @@
 
     def _on_open(self, hello: Hello) -> None:
         # Before anything is assigned there: the agent may have just started.
-        self._sharing.greet(hello.process)
+        self._evacuation_broadcast.send_to(hello.process)
         self._ends.opened_at[hello.process] = self._ctx.clock.now()
         self._ctx.window.forget(hello.process)
         # The connection may have taken the place of a silent one, and the chain be nearly over.
-        self._ctx.view.of(hello.process).echoed_at = 0.0
+        self._ctx.view.get_or_add(hello.process).echoed_at = 0.0
 
     def _on_close(self, agent: str) -> None:
         """Keep what the agent holds until it is surely over: it may connect again."""
@@ -247,14 +249,14 @@
         for process in list(self._ctx.view.agents):
             if self._ctx.view.is_over(process, now):
                 self._ends.lose(process, "silent for longer than every lease")
-        self._ctx.links.close_silent()
+        self._ctx.links.close_idle()
 
     def step(self) -> None:
         """One round: passed deadlines, jobs that cannot be in time, placing."""
         now = self._ctx.clock.now()
-        for ticket in list(self._ctx.jobs.values()):
-            if now >= ticket.job.deadline:
-                self._ctx.give_up(ticket.job, "deadline passed")
+        for handle in list(self._ctx.jobs.values()):
+            if now >= handle.job.deadline:
+                self._ctx.give_up(handle.job, "deadline passed")
         self._correct_window(now)
         if self._ctx.backlog:
             self._admitting.decide(now)
@@ -272,27 +274,29 @@
 
     def takes(self, spec: JobSpec) -> bool:
         """Whether a job can be expected to end before this process does."""
-        return ends_in_time(longest_chain_s(spec), self._shutdown_at - self._ctx.clock.now())
+        return finishes_before_shutdown(
+            longest_chain_s(spec), self._shutdown_at - self._ctx.clock.now()
+        )
 
-    def leave(self, linger_s: float, until: float) -> None:
+    def shut_down(self, linger_s: float, until: float) -> None:
         """Take what can still end before ``until``, for ``linger_s`` at least, and answer all.
 
         Callers keep their connections for some time after the balancer has been told.
         """
-        self.begin_leaving(until)
+        self.begin_shutdown(until)
         gevent.sleep(linger_s)
-        while not self.has_left() and self._ctx.clock.now() < until:
+        while not self.is_drained() and self._ctx.clock.now() < until:
             gevent.sleep(LEAVE_CHECK_S)
         self._shutdown_at = self._ctx.clock.now()
-        for ticket in list(self._ctx.jobs.values()):
-            self._ctx.give_up(ticket.job, "the entry ends")
+        for handle in list(self._ctx.jobs.values()):
+            self._ctx.give_up(handle.job, "the entry ends")
 
-    def begin_leaving(self, until: float) -> None:
+    def begin_shutdown(self, until: float) -> None:
         """Take only what can be expected to end before ``until``."""
         self.leaving = True
         self._shutdown_at = until
 
-    def has_left(self) -> bool:
+    def is_drained(self) -> bool:
         """Whether no job has been here for a while; from then on none is taken.
 
         A job taken between the last answer and the end of the process would be cut off.
--- a/src/gentianmux/leased/entry_context.py
+++ b/src/gentianmux/leased/entry_context.py
@@ -8,13 +8,13 @@
 from ..messages import Claim, LoadEcho, RunRef, Withdraw
 from ..metrics import Metrics
 from .backlog import Backlog
-from .claiming import claims_of, signature
+from .claims import claims_of, signature
 from .config_feed import ConfigFeed
 from .fleet_view import AgentView, FleetView
+from .job_handle import JobHandle, JobResult
 from .job_state import JobOutcome, JobState
 from .links import Links
 from .send_window import SendWindow
-from .ticket import Ticket, Verdict
 
 CLAIMS_S = 0.01
 """Seconds for which worked-out claims hold while nothing else waits than before: how soon the most
@@ -68,7 +68,7 @@
         self.feed = feed
         self.metrics = metrics
         self.clock = clock
-        self.jobs: dict[str, Ticket] = {}
+        self.jobs: dict[str, JobHandle] = {}
         self.backlog = Backlog()
         self.window = SendWindow(link_bytes_s)
         self.out: defaultdict[str, dict[tuple[str, int], JobState]] = defaultdict(dict)
@@ -76,29 +76,29 @@
         self._claims_until = 0.0
         self._claims_of = 0
 
-    def finish(self, job: JobState, verdict: Verdict) -> None:
+    def finish(self, job: JobState, result: JobResult) -> None:
         """End a job: take its runs back, and hand its verdict to those who wait."""
-        ticket = self.jobs.pop(job.spec.job_id, None)
-        if ticket is None:
+        handle = self.jobs.pop(job.spec.job_id, None)
+        if handle is None:
             return
         self.backlog.drop(job)
         self._withdraw(job)
-        ticket.verdict = verdict
+        handle.result = result
         took_s = self.clock.now() - job.arrived
-        self.metrics.count("jobs_ended", label=verdict.outcome.value)
+        self.metrics.count("jobs_ended", label=result.outcome.value)
         self.metrics.observe("job_seconds", took_s, label=job.queue.name)
         logger.bind(
             job=job.spec.job_id,
             queue=job.queue.name,
-            outcome=verdict.outcome.value,
-            reason=verdict.reason,
+            outcome=result.outcome.value,
+            reason=result.reason,
             took_ms=round(took_s * 1000),
             objective_ms=round(job.objective_s * 1000),
             time_limit_ms=round((job.deadline - job.arrived) * 1000),
             began=job.began,
             tasks=len(job.tasks),
         ).info("job ended")
-        ticket.done.set()
+        handle.done.set()
 
     def _withdraw(self, job: JobState) -> None:
         by_agent: dict[str, list[RunRef]] = defaultdict(list)
@@ -112,9 +112,9 @@
     def give_up(self, job: JobState, reason: str, again_s: int = RETRY_AFTER_S) -> None:
         """End a job that is not served: as not run where that is proved, else as unknown."""
         if job.proved_not_run:
-            self.finish(job, Verdict(JobOutcome.NOT_RUN, reason, again_s))
+            self.finish(job, JobResult(JobOutcome.NOT_RUN, reason, again_s))
         else:
-            self.finish(job, Verdict(JobOutcome.UNKNOWN, reason))
+            self.finish(job, JobResult(JobOutcome.UNKNOWN, reason))
 
     def claims(self, service: str) -> list[Claim]:
         """What waits for room of a service here, by urgency; worked out anew when it changes."""
--- a/src/gentianmux/leased/entry_leases.py
+++ b/src/gentianmux/leased/entry_leases.py
@@ -12,7 +12,7 @@
 ENTRY_LEASE_S = 0.4
 """Seconds; three load reports. Shorter leases drop runs when a slowed process reports late."""
 
-REPORT_S = 0.125
+REPORT_INTERVAL_S = 0.125
 """Seconds between load reports to an entry whose runs are at work here. Each is echoed as it comes,
 so a report or echo that is sent again after 0.2 s by the connection breaks no chain."""
 
@@ -22,9 +22,9 @@
 looks, an agent at rest took 0.044 of a core, with these and six looks 0.023 (medians of four agents
 and five entries on loopback, 8 s)."""
 
-ECHO_GAP_S = 0.06
+MIN_ECHO_INTERVAL_S = 0.06
 """Least seconds between two echoes to an agent, which also reports each change of its room: fewer
-than three unanswered ones, and a chain never ages by more than this and ``REPORT_S``."""
+than three unanswered ones, and a chain never ages by more than this and ``REPORT_INTERVAL_S``."""
 
 QUIET_S = 0.25
 """Seconds since the newest report that was echoed was sent, after which the connection is doubted:
@@ -33,7 +33,7 @@
 IDLE_QUIET_S = 0.65
 """The same for an entry without runs here, which loses nothing: two reports without an echo."""
 
-CLOCK_DRIFT = 1.02
+CLOCK_DRIFT_RATIO = 1.02
 """Factor; an endpoint's clock may run 2 % slow."""
 
 STOP_MARGIN_S = 0.15
@@ -49,8 +49,8 @@
     Examples
     --------
     >>> side = EntryLeases()
-    >>> side.sent(1, 10.0)
-    >>> side.echoed("e1", 1)
+    >>> side.record_sent(1, 10.0)
+    >>> side.record_echo("e1", 1)
     >>> side.holds("e1", 10.2), side.holds("e1", 10.5)
     (True, False)
     """
@@ -59,11 +59,11 @@
         self._sent: deque[tuple[int, float]] = deque(maxlen=KEPT_REPORTS)
         self._until: dict[str, float] = {}
 
-    def sent(self, number: int, now: float) -> None:
+    def record_sent(self, number: int, now: float) -> None:
         """Note the time at which a report leaves."""
         self._sent.append((number, now))
 
-    def echoed(self, entry: str, number: int) -> None:
+    def record_echo(self, entry: str, number: int) -> None:
         """Take an entry's echo; one of a report too old to be known extends nothing."""
         for known, sent_at in reversed(self._sent):
             if known == number:
@@ -100,4 +100,4 @@
     lease_s : float
         The longest lease that agents ask of endpoints, in seconds.
     """
-    return last_echo_at + ENTRY_LEASE_S + lease_s * CLOCK_DRIFT + STOP_MARGIN_S
+    return last_echo_at + ENTRY_LEASE_S + lease_s * CLOCK_DRIFT_RATIO + STOP_MARGIN_S
--- a/src/gentianmux/leased/entry_reports.py
+++ b/src/gentianmux/leased/entry_reporter.py
@@ -5,7 +5,7 @@
 
 from ..clock import Clock
 from ..messages import AgentLoad, Claim, EndedRun, EndedRuns
-from .entry_leases import IDLE_REPORT_S, REPORT_S, EntryLeases
+from .entry_leases import IDLE_REPORT_S, REPORT_INTERVAL_S, EntryLeases
 from .grants import GRANT_S, Grants
 from .links import Links
 from .model import RunOutcome
@@ -52,7 +52,7 @@
         Number of the last assignment of each entry.
     grants : Grants
         Which entries wait for room, and what of it is kept for them.
-    turned_away : set
+    not_offered : set
         Entries that are offered none, since the agent will let go of them.
 
     Examples
@@ -70,7 +70,7 @@
         self.chain = EntryLeases()
         self.applied: dict[str, int] = {}
         self.grants = Grants()
-        self.turned_away: set[str] = set()
+        self.not_offered: set[str] = set()
         self._links = links
         self._clock = clock
         self._load = load
@@ -131,7 +131,7 @@
             self._sent_up_to.pop(entry, None)
             self.applied.pop(entry, None)
             self.chain.forget(entry)
-            self.turned_away.discard(entry)
+            self.not_offered.discard(entry)
             self._reported_at.pop(entry, None)
             self.grants.forget(entry)
 
@@ -148,7 +148,7 @@
         self._gathering = False
         self._report(self._links.processes())
 
-    def send_due(self) -> None:
+    def send_due_reports(self) -> None:
         """Report the load to the entries whose turn it is: those without runs here less often."""
         now = self._clock.now()
         entries = self._links.processes()
@@ -160,12 +160,12 @@
         return self._reported_at.get(entry, 0.0) + self._pace_s(entry)
 
     def _pace_s(self, entry: str) -> float:
-        return REPORT_S if self._serves(entry) else IDLE_REPORT_S
+        return REPORT_INTERVAL_S if self._serves(entry) else IDLE_REPORT_S
 
     def _report(self, entries: list[str]) -> None:
         self._number += 1
         now = self._clock.now()
-        self.chain.sent(self._number, now)
+        self.chain.record_sent(self._number, now)
         load = self._load()
         sharing = self.chain.holding(now)
         offers = self.grants.offers(self._in_turn(), load.offered, now)
@@ -189,7 +189,7 @@
 
     def _in_turn(self) -> list[str]:
         """Entries that may use room, from another one on with each report."""
-        entries = [each for each in self._links.processes() if each not in self.turned_away]
+        entries = [each for each in self._links.processes() if each not in self.not_offered]
         first = self._number % max(1, len(entries))
         return entries[first:] + entries[:first]
 
@@ -206,7 +206,7 @@
 
     def _was_idle(self, entry: str) -> bool:
         """Whether the last report to an entry is older than those to one with runs here."""
-        return self._clock.now() - self._reported_at.get(entry, 0.0) > REPORT_S
+        return self._clock.now() - self._reported_at.get(entry, 0.0) > REPORT_INTERVAL_S
 
     def claimed(self, entry: str, claims: list[Claim], gives_back: bool) -> None:
         """Take in what waits for room at an entry, and whether it gives back its grant."""
@@ -233,7 +233,7 @@
             return
         room = self._load().offered
         granted = self.grants.deal(room, self._clock.now()) if room.cpu > 0 else set()
-        granted -= self.turned_away
+        granted -= self.not_offered
         if granted:
             self._report(sorted(granted))
             self._look_for_lapsed()
--- a/src/gentianmux/leased/evacuations.py
+++ b/src/gentianmux/leased/evacuations.py
@@ -19,7 +19,7 @@
     position : int
         Offset up to which the topic was read; of two accounts the one with the higher is newer,
         whoever read it.
-    failure_domains : tuple of str
+    failure_domains : tuple get_or_add str
         In the order of their names.
     """
 
@@ -48,8 +48,8 @@
     Examples
     --------
     >>> feed = EvacuationFeed(metrics)
-    >>> feed.read_all(["fd1"], 5)
-    >>> feed.read_changes([("fd1", False), ("fd2", True)], 7)
+    >>> feed.apply_snapshot(["fd1"], 5)
+    >>> feed.apply_changes([("fd1", False), ("fd2", True)], 7)
     >>> feed.current
     Evacuations(position=7, failure_domains=('fd2',))
     """
@@ -69,12 +69,12 @@
         """Whether a failure domain is evacuated at present."""
         return failure_domain in self.current.failure_domains
 
-    def read_all(self, failure_domains: Iterable[str], position: int) -> None:
+    def apply_snapshot(self, failure_domains: Iterable[str], position: int) -> None:
         """Take in every evacuation that the store lists at a position."""
         self._listed = set(failure_domains)
         self._take_listed(position)
 
-    def read_changes(self, changes: Iterable[tuple[str, bool]], position: int) -> None:
+    def apply_changes(self, changes: Iterable[tuple[str, bool]], position: int) -> None:
         """Take in the changes up to a position: failure domains, and whether each is evacuated."""
         for failure_domain, evacuated in changes:
             if evacuated:
@@ -84,9 +84,9 @@
         self._take_listed(position)
 
     def _take_listed(self, position: int) -> None:
-        self.offered(Evacuations(position, tuple(sorted(self._listed))), "store")
+        self.apply_if_newer(Evacuations(position, tuple(sorted(self._listed))), "store")
 
-    def offered(self, evacuations: Evacuations, origin: str) -> None:
+    def apply_if_newer(self, evacuations: Evacuations, origin: str) -> None:
         """Take in an account from a peer or the store, if it is newer."""
         before = self.current
         if evacuations.position <= before.position:
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -6,11 +6,11 @@
 from typing import NamedTuple
 
 from ..messages import AgentLoad, EndpointState
-from .claiming import Signature
+from .claims import Signature
 from .entry_leases import ENTRY_LEASE_S, leases_expire_at
-from .leaving import NO_BOUND_MS
 from .model import instance_of
 from .resources import NO_RESOURCES, Resources
+from .shutdown import UNBOUNDED_ESTIMATE_MS
 
 SILENT_S = ENTRY_LEASE_S - 0.05
 """Seconds without a load report after which an agent gets nothing new: what is assigned later comes
@@ -47,7 +47,7 @@
 
     process: str
     state: EndpointState | None = None
-    heard_at: float = 0.0
+    last_heard_at: float = 0.0
     newest_load: int = 0
     free: Resources = NO_RESOURCES
     slowness: float = 1.0
@@ -57,7 +57,7 @@
     failed_until: float = 0.0
     told: Signature = ()
     entries: int = 1
-    longest_ms: int = NO_BOUND_MS
+    longest_ms: int = UNBOUNDED_ESTIMATE_MS
     echoed_at: float = 0.0
     seen: int = 0
 
@@ -73,9 +73,9 @@
         self._pending[number] = self._pending.get(number, NO_RESOURCES).plus(need)
         self.free = self.free.minus(need)
 
-    def take_load(self, load: AgentLoad, now: float) -> None:
+    def apply_report(self, load: AgentLoad, now: float) -> None:
         """Take in a load report; reports overtaken by a newer one count only as a sign of life."""
-        self.heard_at = now
+        self.last_heard_at = now
         if load.number <= self.newest_load:
             return
         self.newest_load = load.number
@@ -92,16 +92,16 @@
         It may be old, and the next one must not be left out: taken for an echo of now, it let the
         lease chain of a pair without runs end 0.01 s before its next echo, and 12 runs with it.
         """
-        self.echoed_at = max(self.echoed_at, self.heard_at)
+        self.echoed_at = max(self.echoed_at, self.last_heard_at)
 
     @property
     def is_leaving(self) -> bool:
         """Whether the agent was told to stop: it begins short runs alone."""
-        return self.longest_ms != NO_BOUND_MS
+        return self.longest_ms != UNBOUNDED_ESTIMATE_MS
 
     def is_fresh(self, now: float) -> bool:
         """Whether the agent was heard of lately."""
-        return now - self.heard_at <= SILENT_S
+        return now - self.last_heard_at <= SILENT_S
 
 
 class Expected(NamedTuple):
@@ -113,7 +113,7 @@
     until: float
 
 
-class Wish(NamedTuple):
+class PlacementRequest(NamedTuple):
     """What a task asks of an endpoint.
 
     ``avoid`` names lives of endpoints on which it ended badly; ``full`` those that hold all they
@@ -129,7 +129,7 @@
     estimate_ms: int = 0
 
     @property
-    def is_picky(self) -> bool:
+    def is_constrained(self) -> bool:
         """Whether it matters on which endpoint the task runs, beyond room and speed."""
         return bool(self.requires or self.prefers or self.avoid or self.full)
 
@@ -146,7 +146,7 @@
 
     Attributes
     ----------
-    evacuated : tuple of str
+    evacuated : tuple get_or_add str
         Failure domains whose agents get nothing new and count as no capacity.
     """
 
@@ -158,7 +158,7 @@
         self._lease_s = lease_s
         self._rng = rng
 
-    def of(self, process: str) -> AgentView:
+    def get_or_add(self, process: str) -> AgentView:
         """The view of an agent's process, made when it is new."""
         view = self.agents.get(process)
         if view is None:
@@ -173,7 +173,7 @@
     def is_over(self, process: str, now: float) -> bool:
         """Whether nothing that the agent was assigned can still run."""
         view = self.agents.get(process)
-        return view is None or now > leases_expire_at(view.heard_at, self._lease_s)
+        return view is None or now > leases_expire_at(view.last_heard_at, self._lease_s)
 
     def is_reachable(self, now: float) -> bool:
         """Whether any agent with an endpoint was heard of lately."""
@@ -212,11 +212,13 @@
             for agent in self._order
         )
 
-    def willing(self, service: str, now: float) -> list[AgentView]:
+    def eligible(self, service: str, now: float) -> list[AgentView]:
         """Agents that serve a service and have not just refused a run."""
         return [agent for agent in self.serving(service, now) if now >= agent.failed_until]
 
-    def expect(self, node: str, service: str, failure_domain: str, cpu: int, now: float) -> None:
+    def expect_agent(
+        self, node: str, service: str, failure_domain: str, cpu: int, now: float
+    ) -> None:
         """Count an announced agent as capacity for a while, unless it is heard of first.
 
         Judged by the few agents that have connected in the first second after everything
@@ -252,29 +254,29 @@
         """How many entries share the agents, this one included."""
         return max((agent.entries for agent in self._some() if agent.is_fresh(now)), default=1)
 
-    def choose(self, wish: Wish, serving: Iterable[AgentView]) -> AgentView | None:
+    def choose(self, request: PlacementRequest, serving: Iterable[AgentView]) -> AgentView | None:
         """The best of some serving agents for a task; None when none has room for it."""
         agents = list(serving)
         if len(agents) > SAMPLE:
             agents = self._rng.sample(agents, SAMPLE)
-        able = [agent for agent in agents if self._suits(agent, wish)]
+        able = [agent for agent in agents if self._suits(agent, request)]
         if not able:
             return None
-        return min(able, key=lambda agent: self._cost(agent, wish))
+        return min(able, key=lambda agent: self._cost(agent, request))
 
-    def _suits(self, agent: AgentView, wish: Wish) -> bool:
+    def _suits(self, agent: AgentView, request: PlacementRequest) -> bool:
         state = agent.state
-        if state is None or state.incarnation in wish.avoid or state.incarnation in wish.full:
+        if state is None or state.incarnation in request.avoid or state.incarnation in request.full:
             return False
-        if wish.estimate_ms > agent.longest_ms:
+        if request.estimate_ms > agent.longest_ms:
             return False
-        if wish.requires and wish.requires not in state.labels:
+        if request.requires and request.requires not in state.labels:
             return False
-        return agent.free.fits(wish.need)
+        return agent.free.fits(request.need)
 
-    def _cost(self, agent: AgentView, wish: Wish) -> tuple[bool, int, float, float]:
+    def _cost(self, agent: AgentView, request: PlacementRequest) -> tuple[bool, int, float, float]:
         state = agent.state
-        far = bool(wish.prefers) and (state is None or wish.prefers not in state.labels)
+        far = bool(request.prefers) and (state is None or request.prefers not in state.labels)
         return far, *self.weight(agent)
 
     def weight(self, agent: AgentView) -> tuple[int, float, float]:
--- a/src/gentianmux/leased/ticket.py
+++ b/src/gentianmux/leased/job_handle.py
@@ -7,7 +7,7 @@
 from .job_state import JobOutcome, JobState
 
 
-class Verdict(NamedTuple):
+class JobResult(NamedTuple):
     """What is answered for a job."""
 
     outcome: JobOutcome
@@ -15,16 +15,16 @@
     retry_after_s: int = 0
 
 
-class Ticket:
+class JobHandle:
     """A job at work, for those who wait for its answer.
 
     Examples
     --------
-    ``ticket.done.wait(timeout_s)`` and then ``ticket.verdict``.
+    ``handle.done.wait(timeout_s)`` and then ``handle.result``.
     """
 
     def __init__(self, job: JobState) -> None:
         self.job = job
         self.done = Event()
-        self.verdict: Verdict | None = None
+        self.result: JobResult | None = None
         self.waiters = 0
--- a/src/gentianmux/leased/links.py
+++ b/src/gentianmux/leased/links.py
@@ -11,9 +11,9 @@
 from ..clock import Clock
 from ..codec import decode, encode
 from ..codes import ResultCode
-from ..conn import Conn, quietly, receive, tune
+from ..conn import Conn, iter_received, run_writer, set_socket_options
 from ..errors import FrameError
-from ..frames import pack, split_frames
+from ..frames import pack_frame, split_frames
 from ..listeners import Listeners
 from ..messages import PROTOCOL_VERSION, Hello, Message
 from ..metrics import Metrics
@@ -35,13 +35,13 @@
 SLOWEST_REDIAL_S = 1.0
 """Seconds between tries at an address that has not answered for long."""
 
-SILENT_S = 1.0
+IDLE_TIMEOUT_S = 1.0
 """Seconds without a frame, ten reports or echoes, after which a connection is given up."""
 
-NOTHING_HEARD_S = 0.2
+RECONNECT_AFTER_S = 0.2
 """Seconds without any frame, two echoes, after which a connection may be silent for good."""
 
-RENEW_AGAIN_S = 0.3
+RECONNECT_INTERVAL_S = 0.3
 """Seconds between tries to replace a connection on which nothing gets through."""
 
 
@@ -144,7 +144,7 @@
             gevent.sleep(wait_s)
             wait_s = min(SLOWEST_REDIAL_S, wait_s * 1.5)
 
-    def renew(self, process: str) -> None:
+    def reconnect(self, process: str) -> None:
         """Open another connection beside one on which nothing gets through, to replace it.
 
         A connection may go silent for good while new ones work. Only one side may do this: two
@@ -152,9 +152,12 @@
         """
         conn = self._open.get(process)
         now = self._clock.now()
-        if conn is None or now - self._renewed.get(process, -RENEW_AGAIN_S) < RENEW_AGAIN_S:
+        if (
+            conn is None
+            or now - self._renewed.get(process, -RECONNECT_INTERVAL_S) < RECONNECT_INTERVAL_S
+        ):
             return
-        if now - self._heard[process] < NOTHING_HEARD_S:
+        if now - self._heard[process] < RECONNECT_AFTER_S:
             # It is slow, not silent; more connections would make a full link slower still.
             return
         self._renewed[process] = now
@@ -174,11 +177,11 @@
         self._greet_and_run(sock, dialed=False)
 
     def _greet_and_run(self, sock: Any, dialed: bool) -> None:
-        tune(sock, UNACKED_MS)
-        frames = split_frames(receive(sock), self._key)
+        set_socket_options(sock, UNACKED_MS)
+        frames = split_frames(iter_received(sock), self._key)
         try:
             with gevent.Timeout(HELLO_S):
-                sock.sendall(pack(encode(self._me), self._key))
+                sock.sendall(pack_frame(encode(self._me), self._key))
                 hello = _expect_hello(frames)
         except (gevent.Timeout, OSError, FrameError) as exc:
             self._metrics.count("links_refused", label=type(exc).__name__)
@@ -213,7 +216,7 @@
         self.on_open(hello)
 
     def _run(self, conn: Conn, frames: Iterator[bytes]) -> None:
-        writer = gevent.spawn(quietly, conn.write_out)
+        writer = gevent.spawn(run_writer, conn.write_loop)
         reason = "closed by the peer"
         try:
             for body in frames:
@@ -244,11 +247,11 @@
             logger.bind(peer=conn.process, reason=reason).warning("peer lost")
             self.on_close(conn.process)
 
-    def close_silent(self) -> None:
+    def close_idle(self) -> None:
         """Close connections on which nothing has come for long; they are opened anew."""
         now = self._clock.now()
         for process in list(self._open):
-            if now - self._heard[process] > SILENT_S:
+            if now - self._heard[process] > IDLE_TIMEOUT_S:
                 self.drop(process, f"silent for {now - self._heard[process]:.1f} s")
 
     def send(self, process: str, msg: Message) -> bool:
@@ -256,10 +259,10 @@
         conn = self._open.get(process)
         if conn is None:
             return False
-        frame = pack(encode(msg), self._key)
+        frame = pack_frame(encode(msg), self._key)
         self._metrics.count("frames_out", label=type(msg).__name__)
         self._metrics.count("bytes_out", len(frame))
-        return conn.put(frame)
+        return conn.enqueue(frame)
 
 
 def _expect_hello(frames: Iterator[bytes]) -> Hello:
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -7,13 +7,13 @@
 from ..messages import Assign, LeasedTask
 from .admission import Admission
 from .candidates import Candidates
-from .claiming import signature
+from .claims import signature
 from .entry_context import EntryContext
-from .fleet_view import AgentView, Wish
+from .fleet_view import AgentView, PlacementRequest
 from .job_state import TASK_BYTES, JobState, TaskState
 from .model import RunOutcome
 from .resources import NO_RESOURCES, Resources
-from .run_ends import RunEnds
+from .run_completions import RunCompletions
 
 CLAIM_AGAIN_S = 0.02
 """Seconds between tellings of all agents that runs wait: four of the shortest waits for room."""
@@ -27,14 +27,14 @@
 model). All together gained no more, and is a longer queue at one agent."""
 
 
-class Placing:
+class Placer:
     """Places the backlog of an entry.
 
     Parameters
     ----------
     ctx : EntryContext
         The jobs and the agents.
-    ends : RunEnds
+    ends : RunCompletions
         Takes back what could not be sent.
     admissions : dict
         The decisions of each service, told when a job begins.
@@ -45,7 +45,7 @@
     """
 
     def __init__(
-        self, ctx: EntryContext, ends: RunEnds, admissions: defaultdict[str, Admission]
+        self, ctx: EntryContext, ends: RunCompletions, admissions: defaultdict[str, Admission]
     ) -> None:
         self._ctx = ctx
         self._ends = ends
@@ -81,10 +81,10 @@
 
     def _place_service(self, service: str, shares: dict[str, list[LeasedTask]], now: float) -> None:
         view = self._ctx.view
-        candidates = Candidates(view, view.willing(service, now))
+        candidates = Candidates(view, view.eligible(service, now))
         too_large: Resources | None = None
         planned = 0
-        for job in self._ctx.backlog.of(service) if len(candidates) else ():
+        for job in self._ctx.backlog.get_or_add(service) if len(candidates) else ():
             if planned >= self._ctx.window.left():
                 self._ctx.window.hold_back(now)
                 break
@@ -115,7 +115,7 @@
         if chosen and not began:
             self._admissions[job.queue.service].begins(job, now)
         if chosen:
-            oldest = min(self._ctx.view.of(process).heard_at for process in chosen)
+            oldest = min(self._ctx.view.get_or_add(process).last_heard_at for process in chosen)
             logger.bind(
                 job=job.spec.job_id,
                 agents=dict(chosen),
@@ -141,10 +141,10 @@
     ) -> bool:
         together = 0
         for task in job.ready():
-            wish = self._wish(job, task, now)
-            agent = candidates.take_again(wish) if 0 < together < TOGETHER else None
+            request = self._wish(job, task, now)
+            agent = candidates.take_again(request) if 0 < together < TOGETHER else None
             together = together + 1 if agent is not None else 1
-            agent = agent or candidates.take(wish)
+            agent = agent or candidates.take(request)
             if agent is None or agent.state is None:
                 return False
             run = job.assign(task, agent.process, agent.state.incarnation, now)
@@ -158,9 +158,9 @@
             chosen[agent.process] += 1
         return True
 
-    def _wish(self, job: JobState, task: TaskState, now: float) -> Wish:
+    def _wish(self, job: JobState, task: TaskState, now: float) -> PlacementRequest:
         step = job.step_of(task)
-        return Wish(
+        return PlacementRequest(
             job.queue.service,
             step.need,
             step.requires,
@@ -172,12 +172,12 @@
 
     def _avoided(self, job: JobState, task: TaskState, now: float) -> frozenset[str]:
         """Lives on which a task ended badly, unless no others serve its service."""
-        willing = self._ctx.view.willing(job.queue.service, now)
+        willing = self._ctx.view.eligible(job.queue.service, now)
         others = any(a.state is not None and a.state.incarnation not in task.avoid for a in willing)
         return frozenset(task.avoid) if others else frozenset()
 
     def _assign(self, process: str, tasks: list[LeasedTask]) -> None:
-        agent = self._ctx.view.of(process)
+        agent = self._ctx.view.get_or_add(process)
         agent.assigned += 1
         self._ctx.metrics.count("runs_assigned", len(tasks))
         claims = [] if agent.state is None else self._ctx.claims(agent.state.service)
--- a/src/gentianmux/leased/process.py
+++ b/src/gentianmux/leased/process.py
@@ -129,7 +129,7 @@
         stable = None if report is None else report._replace(sequence=0, drain_remaining_s=0.0)
         directory.announce(Announcement(cfg.name, cfg.role, cfg.peer_address, stable))
 
-    agent.on_endpoint = announce
+    agent.on_report_change = announce
     base.links.start()
     base.serve(cfg.http_address, make_app(agent))
     base.serve(cfg.metrics_address, base.metrics_app)
@@ -138,7 +138,7 @@
         base.links.dial(seed)
     gevent.spawn(_find_entries, agent, directory, base)
     stopping.wait()
-    agent.leave(base.clock.now() + cfg.grace_s - SPARE_S)
+    agent.shut_down(base.clock.now() + cfg.grace_s - SPARE_S)
     base.close()
 
 
@@ -160,7 +160,7 @@
     if mine and mine[0] is not None:
         agent.on_report(mine[0])
     else:
-        agent.on_endpoint(None)
+        agent.on_report_change(None)
 
 
 def run_entry(base: Process, make_app: Callable[["Entry"], Any], stopping: Event) -> None:
@@ -191,7 +191,7 @@
         if preferred and found.report is not None:
             report = found.report
             cpu, domain = report.capacity.cpu, report.failure_domain
-            view.expect(found.name, report.service, domain, cpu, base.clock.now())
+            view.expect_agent(found.name, report.service, domain, cpu, base.clock.now())
 
     directory.on_found = take
     base.links.start()
@@ -202,7 +202,7 @@
 
     def limit(limits: Any) -> None:
         app.limit(limits)
-        callers.request_s = limits.header_timeout_s
+        callers.request_timeout_s = limits.header_timeout_s
         callers.idle_s = limits.idle_timeout_s
 
     base.feed.on_change = lambda config: limit(config.limits)
@@ -211,7 +211,7 @@
         gevent.spawn(loop)
     directory.announce(Announcement(cfg.name, cfg.role, cfg.peer_address))
     stopping.wait()
-    entry.leave(LINGER_S, base.clock.now() + cfg.grace_s - SPARE_S)
+    entry.shut_down(LINGER_S, base.clock.now() + cfg.grace_s - SPARE_S)
     gevent.sleep(LAST_ANSWERS_S)
     base.close()
 
--- a/src/gentianmux/leased/progress.py
+++ b/src/gentianmux/leased/progress.py
@@ -16,7 +16,7 @@
 """Seconds of a run before its rate says anything: one report of progress and some rounding."""
 
 
-class Progress(NamedTuple):
+class RunProgress(NamedTuple):
     """What has been seen of one run: how far it is and since when it has been there."""
 
     began: float
@@ -26,7 +26,7 @@
     def seen(self, percent: float, now: float) -> "Progress":
         """Take in a report."""
         if percent > self.percent or not self.moved_at:
-            return Progress(self.began, percent, now)
+            return RunProgress(self.began, percent, now)
         return self
 
     def is_stalled(self, now: float) -> bool:
@@ -34,7 +34,7 @@
         since = self.moved_at or self.began
         return now - since > STALL_S and self.percent < 100
 
-    def heading_for_ms(self, now: float) -> float | None:
+    def projected_ms(self, now: float) -> float | None:
         """Run time it is heading for, in ms; None while too little was seen."""
         elapsed = now - self.began
         if elapsed < LEAST_SEEN_S:
--- a/src/gentianmux/leased/run_ends.py
+++ b/src/gentianmux/leased/run_completions.py
@@ -4,15 +4,15 @@
 
 from ..messages import Holding, RunRef, Withdraw
 from .entry_context import EntryContext
+from .job_handle import JobResult
 from .job_state import JobOutcome
 from .model import RunOutcome, instance_of
-from .ticket import Verdict
 
 REFUSED_PAUSE_S = 0.05
 """Seconds for which an agent that refused for other reasons than room gets nothing new."""
 
 
-class RunEnds:
+class RunCompletions:
     """Ends runs, and with the last of them their job.
 
     Parameters
@@ -57,13 +57,13 @@
             return
         self._ctx.metrics.count("runs_back", label=how.name.lower())
         if how in (RunOutcome.NOT_STARTED, RunOutcome.DRAINING):
-            self._ctx.view.of(agent).failed_until = self._ctx.clock.now() + REFUSED_PAUSE_S
+            self._ctx.view.get_or_add(agent).failed_until = self._ctx.clock.now() + REFUSED_PAUSE_S
         if how not in (RunOutcome.DONE, RunOutcome.NO_ROOM):
             logger.bind(task=name, run=run, peer=agent, how=how.name.lower()).info("run came back")
         if job.failed:
-            self._ctx.finish(job, Verdict(JobOutcome.FAILED, f"{name} failed too often"))
+            self._ctx.finish(job, JobResult(JobOutcome.FAILED, f"{name} failed too often"))
         elif job.is_done:
-            self._ctx.finish(job, Verdict(JobOutcome.COMPLETED, "every task is done"))
+            self._ctx.finish(job, JobResult(JobOutcome.COMPLETED, "every task is done"))
         elif job.ready() and job.spec.job_id in self._ctx.jobs:
             self._ctx.backlog.put(job)
 
--- a/src/gentianmux/leased/run_starts.py
+++ b/src/gentianmux/leased/run_starter.py
@@ -6,9 +6,9 @@
 from .agent_context import AgentContext, job_of
 from .model import RunOutcome, StartResult
 from .resources import Resources
-from .run_stops import RunStops
+from .run_stopper import RunStops
 from .run_table import RunKey
-from .withdrawn import WithdrawnRuns
+from .withdrawn_runs import WithdrawnRuns
 
 REPLACE_S = 0.8
 """Seconds that a run waits for an earlier run of its task to be gone, a lease and a stop."""
@@ -129,7 +129,7 @@
             logger.bind(task=task.name, run=task.run).warning("a start was not answered")
             self._ctx.metrics.count("starts_unanswered")
             self._ctx.table.unanswered(key, now)
-            self._ctx.looks.look_now()
+            self._ctx.poller.look_now()
             self._stops.stop_due()
             return
         logger.bind(task=task.name, run=task.run, verdict=verdict.value).warning("start refused")
--- a/src/gentianmux/leased/leaving.py
+++ b/src/gentianmux/leased/shutdown.py
@@ -6,11 +6,11 @@
 SPARE_S = 0.2
 """Seconds on top, for placing and answering."""
 
-NO_BOUND_MS = 2**31 - 1
+UNBOUNDED_ESTIMATE_MS = 2**31 - 1
 """The longest estimate that a process takes while nobody has told it to stop, in ms."""
 
 
-def ends_in_time(estimate_s: float, left_s: float) -> bool:
+def finishes_before_shutdown(estimate_s: float, left_s: float) -> bool:
     """Whether work can be expected to end before its process does."""
     return estimate_s * ALLOWANCE + SPARE_S < left_s
 
--- a/src/gentianmux/ledger.py
+++ b/src/gentianmux/ledger.py
@@ -12,7 +12,7 @@
 FINGERPRINT_BYTES = 64
 
 
-class Verdict(Enum):
+class AdmissionDecision(Enum):
     """What the ledger says of a submission."""
 
     ADMIT = "admit"
@@ -22,10 +22,10 @@
     REFUSE = "refuse"
 
 
-class Ruling(NamedTuple):
+class AdmissionResult(NamedTuple):
     """A verdict, with the code of a refusal or of a kept answer."""
 
-    verdict: Verdict
+    decision: AdmissionDecision
     code: ResultCode = ResultCode.OK
     answer: bytes = b""
     attempt: int = 0
@@ -65,10 +65,10 @@
     Examples
     --------
     >>> ledger = Ledger(LedgerBounds(60_000, 1_000, 100_000))
-    >>> ledger.rule("m/a", b"digest", 5_000, 5_000).verdict
+    >>> ledger.check("m/a", b"digest", 5_000, 5_000).decision
     <Verdict.ADMIT: 'admit'>
     >>> ledger.admit("m/a", b"digest", 5_000)
-    >>> ledger.rule("m/a", b"digest", 5_000, 5_001).verdict
+    >>> ledger.check("m/a", b"digest", 5_000, 5_001).decision
     <Verdict.JOIN: 'join'>
     """
 
@@ -81,7 +81,7 @@
         self._entries: dict[str, _Entry] = {}
         self._seen: set[int] = set()
 
-    def rule(self, key: str, digest: bytes, submitted_ms: int, now_ms: int) -> Ruling:
+    def check(self, key: str, digest: bytes, submitted_ms: int, now_ms: int) -> AdmissionResult:
         """Say what to do with a submission; changes nothing."""
         entry = self._entries.get(key)
         if entry is not None:
@@ -89,32 +89,34 @@
         if submitted_ms == NO_TIME:
             return self._rule_timeless(key)
         if submitted_ms <= max(self.horizon_ms, now_ms - self.bounds.keep_ms):
-            return Ruling(Verdict.REFUSE, ResultCode.ID_EXPIRED)
+            return AdmissionResult(AdmissionDecision.REFUSE, ResultCode.ID_EXPIRED)
         if self._is_full():
-            return Ruling(Verdict.REFUSE, ResultCode.LEDGER_FULL)
+            return AdmissionResult(AdmissionDecision.REFUSE, ResultCode.LEDGER_FULL)
         if submitted_ms <= self._new_after():
-            return Ruling(Verdict.ASK)
-        return Ruling(Verdict.ADMIT)
+            return AdmissionResult(AdmissionDecision.ASK)
+        return AdmissionResult(AdmissionDecision.ADMIT)
 
-    def _rule_known(self, entry: _Entry, digest: bytes) -> Ruling:
+    def _rule_known(self, entry: _Entry, digest: bytes) -> AdmissionResult:
         if entry.digest != digest:
-            return Ruling(Verdict.REFUSE, ResultCode.ID_REUSED)
+            return AdmissionResult(AdmissionDecision.REFUSE, ResultCode.ID_REUSED)
         if entry.running:
-            return Ruling(Verdict.JOIN)
+            return AdmissionResult(AdmissionDecision.JOIN)
         if entry.attempt:
-            return Ruling(Verdict.ADMIT, attempt=entry.attempt)
+            return AdmissionResult(AdmissionDecision.ADMIT, attempt=entry.attempt)
         if not entry.answer:
-            return Ruling(Verdict.REFUSE, ResultCode.ANSWER_FORGOTTEN)
-        return Ruling(Verdict.KEPT, entry.code, entry.answer)
+            return AdmissionResult(AdmissionDecision.REFUSE, ResultCode.ANSWER_FORGOTTEN)
+        return AdmissionResult(AdmissionDecision.KEPT, entry.code, entry.answer)
 
-    def _rule_timeless(self, key: str) -> Ruling:
+    def _rule_timeless(self, key: str) -> AdmissionResult:
         if fingerprint(key) in self._seen:
-            return Ruling(Verdict.REFUSE, ResultCode.ID_EXPIRED)
+            return AdmissionResult(AdmissionDecision.REFUSE, ResultCode.ID_EXPIRED)
         if self.timeless_lost:
-            return Ruling(Verdict.REFUSE, ResultCode.ID_WITHOUT_TIME)
+            return AdmissionResult(AdmissionDecision.REFUSE, ResultCode.ID_WITHOUT_TIME)
         if self._is_full():
-            return Ruling(Verdict.REFUSE, ResultCode.LEDGER_FULL)
-        return Ruling(Verdict.ASK if self.taken_over_ms != NO_TIME else Verdict.ADMIT)
+            return AdmissionResult(AdmissionDecision.REFUSE, ResultCode.LEDGER_FULL)
+        return AdmissionResult(
+            AdmissionDecision.ASK if self.taken_over_ms != NO_TIME else AdmissionDecision.ADMIT
+        )
 
     def _new_after(self) -> int:
         """Ids whose time is later than this cannot have been admitted by an earlier owner."""
@@ -149,7 +151,7 @@
             entry.code = ResultCode.TASK_NOT_RUN
             entry.attempt = attempt
 
-    def kept(self, key: str) -> Ruling | None:
+    def lookup(self, key: str) -> AdmissionResult | None:
         """What is known of an id, without a submission; None for nothing."""
         entry = self._entries.get(key)
         return None if entry is None else self._rule_known(entry, entry.digest)
--- a/src/gentianmux/limits.py
+++ b/src/gentianmux/limits.py
@@ -27,8 +27,8 @@
     Examples
     --------
     >>> limits = MemberLimits(Settings(max_inflight=2), ConfigState(), Random(1))
-    >>> limits.enter("steppe", 0.0, entries=1)
-    >>> limits.leave("steppe")
+    >>> limits.acquire("steppe", 0.0, entries=1)
+    >>> limits.release("steppe")
     """
 
     def __init__(self, cfg: Settings, config: ConfigState, rng: Random) -> None:
@@ -39,7 +39,7 @@
         self._total = 0
         self._tokens: dict[str, tuple[float, float]] = {}
 
-    def enter(self, member: str, now: float, entries: int) -> None:
+    def acquire(self, member: str, now: float, entries: int) -> None:
         """Count a request in, or refuse it.
 
         Parameters
@@ -65,7 +65,7 @@
         self._inflight[member] += 1
         self._total += 1
 
-    def leave(self, member: str) -> None:
+    def release(self, member: str) -> None:
         """Count a request out."""
         self._inflight[member] -= 1
         self._total -= 1
--- a/src/gentianmux/member_claims.py
+++ b/src/gentianmux/member_claims.py
@@ -16,7 +16,7 @@
     ----------
     claim : float
         Greatest share of the pool, 0 to 1.
-    slots : mapping of str to int
+    slots : mapping get_or_add str to int
         Slots by worker, for the whole inventory.
 
     Returns
@@ -58,7 +58,7 @@
         self._before: dict[str, dict[str, int]] = {}
         self._changed = float("-inf")
 
-    def part(self, member: str, worker: str, now: float) -> int | None:
+    def slot_limit(self, member: str, worker: str, now: float) -> int | None:
         """Slots of a worker that a member may hold at once; None for no bound."""
         self._follow(now)
         parts = [self._parts.get(member)]
--- a/src/gentianmux/node.py
+++ b/src/gentianmux/node.py
@@ -29,7 +29,7 @@
 NOTICE_S = 0.3
 
 
-def announce(cfg: Settings, incarnation: int | None = None) -> Join:
+def make_join(cfg: Settings, incarnation: int | None = None) -> Join:
     """How a process with these settings announces itself."""
     started_ms = int(time() * 1000) if incarnation is None else incarnation
     return Join(
@@ -58,17 +58,17 @@
     Examples
     --------
     >>> node = Node(Settings(role="entry", name="e1"))
-    >>> node.ctx.me.role
+    >>> node.ctx.identity.role
     'entry'
     """
 
     def __init__(self, cfg: Settings, log: PlatformLog | None = None) -> None:
-        self.ctx = NodeContext(cfg, announce(cfg), log or HttpLog(cfg.log_url))
+        self.ctx = NodeContext(cfg, make_join(cfg), log or HttpLog(cfg.log_url))
         self.peers = Peers(self.ctx, handle, lambda name, conn: on_lost(name, conn, self.ctx))
         self.gossip = GossipServer(self.ctx)
-        self.watch = StreamReader(self.ctx)
+        self.stream_reader = StreamReader(self.ctx)
         self.witness = Witness(self.ctx)
-        self.ctx.members.on_change = self.witness.on_change
+        self.ctx.membership.on_change = self.witness.on_change
         if self.ctx.is_agent:
             ShardManager(self.ctx)
             Coordinator(self.ctx)
@@ -90,13 +90,13 @@
         self.peers.start()
         self.gossip.start()
         self.http.start()
-        loops = [self.watch.run, self.gossip.run, self._upkeep]
+        loops = [self.stream_reader.run, self.gossip.run, self._upkeep]
         if self.ctx.is_agent:
             ctx = self.ctx
-            loops += [ctx.shard_manager.run_leases, ctx.coordinator.run_backlog]
-            loops += [ctx.executor.run_renewals]
+            loops += [ctx.shard_manager.run_leases, ctx.coordinator.run_backlog_loop]
+            loops += [ctx.executor.run_lease_renewals]
         self._loops = [gevent.spawn(loop) for loop in loops]
-        logger.info("started as {} on {}", self.ctx.me.role, self.ctx.cfg.peer_address)
+        logger.info("started as {} on {}", self.ctx.identity.role, self.ctx.cfg.peer_address)
 
     def _upkeep(self) -> None:
         while True:
@@ -105,7 +105,7 @@
             self.ctx.metrics.gauge("loop_lag_ms", max(0.0, (self.ctx.now() - due) * 1000))
             self.ctx.metrics.flush()
             self.witness.check_dead()
-            self.watch.append_snapshots()
+            self.stream_reader.append_snapshots()
             if self.ctx.is_agent:
                 self.ctx.shard_manager.trim()
                 self.ctx.executor.records.trim(self.ctx.now_ms())
@@ -121,7 +121,7 @@
         ctx = self.ctx
         until = ctx.now() + ctx.cfg.drain_s
         ctx.draining = True
-        ctx.members.leave()
+        ctx.membership.leave()
         logger.info("draining")
         gevent.sleep(NOTICE_S)
         while not self._is_empty():
@@ -129,9 +129,9 @@
                 logger.warning("gave up draining with work in flight")
                 return False
             if ctx.is_agent:
-                ctx.shard_manager.moves.release_all()
+                ctx.shard_manager.moves.move_all_away()
             gevent.sleep(DRAIN_STEP_S)
-        self.watch.leave(self._hand_over_records(until))
+        self.stream_reader.leave(self._hand_over_records(until))
         return True
 
     def _hand_over_records(self, until: float) -> str:
@@ -146,11 +146,11 @@
 
     def _is_empty(self) -> bool:
         ctx = self.ctx
-        if ctx.me.role != "agent" and ctx.dispatcher.inflight:
+        if ctx.identity.role != "agent" and ctx.dispatcher.inflight:
             return False
         if not ctx.is_agent:
             return True
-        parted = ctx.executor.say_farewell()
+        parted = ctx.executor.send_shutdown_notices()
         idle = ctx.executor.is_idle() and not ctx.coordinator.jobs
         return parted and idle and not self._shards_to_move()
 
--- a/src/gentianmux/node_context.py
+++ b/src/gentianmux/node_context.py
@@ -34,7 +34,7 @@
     ----------
     cfg : Settings
         The settings.
-    me : Join
+    identity : Join
         How this process announces itself.
     log : PlatformLog
         The platform's log.
@@ -53,7 +53,7 @@
     coordinator: "Coordinator"
     executor: "Executor"
     witness: "Witness"
-    watch: "LogWatch"
+    stream_reader: "LogWatch"
     placement: "Placement"
 
     def __init__(
@@ -61,7 +61,7 @@
     ) -> None:
         self.cfg = cfg
         self.clock = clock or Clock()
-        self.me = me
+        self.identity = me
         self.log = log
         self.rng = Random(me.process)
         self.config = ConfigState()
@@ -69,19 +69,19 @@
         self.metrics = Metrics(cfg)
         self.claims = Claims(self.config)
         self.draining = False
-        self.read_soon = Event()
+        self.read_requested = Event()
         timing = Timing(cfg.probe_ms / 1000, cfg.suspect_ms / 1000)
-        self.members = Membership(describe(me), timing, Random(f"gossip {me.process}"))
+        self.membership = Membership(describe(me), timing, Random(f"gossip {me.process}"))
 
     @property
     def process(self) -> str:
         """Name of this process, with its incarnation."""
-        return self.me.process
+        return self.identity.process
 
     @property
     def is_agent(self) -> bool:
         """Whether this process starts tasks and may own shards."""
-        return self.me.role in ("agent", "standalone")
+        return self.identity.role in ("agent", "standalone")
 
     def shard_of(self, key: str) -> int:
         """The shard that a key belongs to."""
@@ -92,7 +92,7 @@
         joined = self.fleet.processes.get(process)
         if joined is not None:
             return joined.address
-        heard = self.members.get(process)
+        heard = self.membership.get(process)
         return None if heard is None else heard.address
 
     def now(self) -> float:
--- a/src/gentianmux/peers.py
+++ b/src/gentianmux/peers.py
@@ -11,9 +11,9 @@
 
 from .codec import decode, encode
 from .codes import ResultCode
-from .conn import Conn, quietly, receive, tune
+from .conn import Conn, iter_received, run_writer, set_socket_options
 from .errors import FrameError
-from .frames import pack, split_frames
+from .frames import pack_frame, split_frames
 from .messages import PROTOCOL_VERSION, Hello, Message
 from .node_context import NodeContext
 
@@ -78,16 +78,16 @@
         conn = self._conns.get(process) or self._dial(process)
         if conn is None:
             return False
-        frame = pack(encode(msg), self._key)
+        frame = pack_frame(encode(msg), self._key)
         self._ctx.metrics.count("frames_out", label=type(msg).__name__)
         self._ctx.metrics.count("bytes_out", len(frame))
-        return conn.put(frame)
+        return conn.enqueue(frame)
 
     def is_connected(self, process: str) -> bool:
         """Whether a connection to a process is open or being opened."""
         return process in self._conns
 
-    def knock(self, process: str) -> None:
+    def ensure_connected(self, process: str) -> None:
         """Connect to a process if there is no connection, to learn whether it is there."""
         if process != self._ctx.process and process not in self._conns:
             self._dial(process)
@@ -114,12 +114,12 @@
         except OSError as exc:
             conn.refused = exc.errno == errno.ECONNREFUSED
             return None
-        tune(sock)
+        set_socket_options(sock)
         conn.sock = sock
-        frames = split_frames(receive(sock), self._key)
+        frames = split_frames(iter_received(sock), self._key)
         try:
             with gevent.Timeout(HELLO_TIMEOUT_S):
-                sock.sendall(pack(encode(self._hello()), self._key))
+                sock.sendall(pack_frame(encode(self._hello()), self._key))
                 hello = _expect_hello(frames)
         except (gevent.Timeout, OSError, FrameError):
             return None
@@ -128,15 +128,15 @@
         return None if conn.refused else frames
 
     def _serve(self, sock: Any, _address: object) -> None:
-        tune(sock)
-        frames = split_frames(receive(sock), self._key)
+        set_socket_options(sock)
+        frames = split_frames(iter_received(sock), self._key)
         conn = Conn("", "")
         conn.sock = sock
         self._open.add(conn)
         try:
             with gevent.Timeout(HELLO_TIMEOUT_S):
                 hello = _expect_hello(frames)
-                sock.sendall(pack(encode(self._hello()), self._key))
+                sock.sendall(pack_frame(encode(self._hello()), self._key))
         except (gevent.Timeout, OSError, FrameError) as exc:
             self._note_bad(exc)
             self._open.discard(conn)
@@ -150,7 +150,7 @@
     def _run(self, conn: Conn, frames: Iterator[bytes]) -> None:
         conn.open()
         self._open.add(conn)
-        writer = gevent.spawn(quietly, conn.write_out)
+        writer = gevent.spawn(run_writer, conn.write_loop)
         try:
             for body in frames:
                 msg = decode(body)
@@ -175,7 +175,7 @@
             logger.bind(code=int(exc.code)).warning("connection closed: {}", exc)
 
     def _hello(self) -> Hello:
-        me = self._ctx.me
+        me = self._ctx.identity
         return Hello(PROTOCOL_VERSION, me.process, me.role, me.address)
 
 
--- a/src/gentianmux/placement.py
+++ b/src/gentianmux/placement.py
@@ -8,7 +8,14 @@
 from .job import Job
 from .messages import Decline, Offer, Reserve, StartBatch, StartHow
 from .node_context import NodeContext
-from .routing import QUEUE_PER_SLOT, AgentHealth, AgentLoad, Candidate, choose, reserve_at
+from .routing import (
+    QUEUE_PER_SLOT,
+    AgentHealth,
+    AgentLoad,
+    Candidate,
+    choose_agents,
+    choose_reservations,
+)
 from .rules import WorkerItem
 from .submission import Size, TaskSpec, fits, needs_of
 
@@ -103,7 +110,7 @@
             own = join.process == self._ctx.process and pool_size > 1
             if own or join.process in self.leaving:
                 continue
-            if self._ctx.members.is_alive(join.process):
+            if self._ctx.membership.is_alive(join.process):
                 yield join
 
     def _allowed(
@@ -112,7 +119,7 @@
         config, now = self._ctx.config, self._ctx.now()
         named = (config.service(service) or {}).get("workers", [])
         for join in joins:
-            part = self._ctx.claims.part(member, join.name, now)
+            part = self._ctx.claims.slot_limit(member, join.name, now)
             if named and join.name not in named:
                 continue
             if part != 0 and fits(needs, config.worker(join.name)):
@@ -131,10 +138,10 @@
 
     def _weigh(self, join: Join) -> Candidate:
         load = self.loads[join.process].estimate(self._ctx.now())
-        local = join.failure_domain == self._ctx.me.failure_domain
+        local = join.failure_domain == self._ctx.identity.failure_domain
         return Candidate(join.process, join.slots, local, load)
 
-    def on_ended(self, agent: str, service: str, code: ResultCode) -> None:
+    def on_task_ended(self, agent: str, service: str, code: ResultCode) -> None:
         """Note how a task ended, for the health of its agent."""
         failed = code in (ResultCode.TASK_FAILED, ResultCode.TASK_UNKNOWN)
         if self.health[agent, service].ended(not failed, self._ctx.now()):
@@ -151,7 +158,7 @@
         # Binding late costs a round trip a task, which pays only for tasks that last much longer.
         how = StartHow.QUEUE if job.is_short else StartHow.BOUNCE
         queue_per_slot = SHORT_QUEUE_PER_SLOT if job.is_short else QUEUE_PER_SLOT
-        agents = choose(len(job.waiting), willing, self._ctx.rng, queue_per_slot)
+        agents = choose_agents(len(job.waiting), willing, self._ctx.rng, queue_per_slot)
         shares = job.take_waiting(agents)
         if job.waiting:
             self.backlog[job.key] = job
@@ -209,7 +216,9 @@
             job.reserved.clear()
             job.reserved_at = now
         asked = sum(job.reserved.values())
-        for agent, count in reserve_at(len(job.waiting), asked, willing, self._ctx.rng).items():
+        for agent, count in choose_reservations(
+            len(job.waiting), asked, willing, self._ctx.rng
+        ).items():
             job.reserved[agent] = job.reserved.get(agent, 0) + count
             size_ms = job.tasks[job.waiting[0]].spec.size.run_ms
             msg = Reserve(job.key, job.epoch, job.member, job.service, count, size_ms)
--- a/src/gentianmux/platform/endpoint.py
+++ b/src/gentianmux/platform/endpoint.py
@@ -6,7 +6,7 @@
 
 from loguru import logger
 
-from ..leased.entry_leases import CLOCK_DRIFT
+from ..leased.entry_leases import CLOCK_DRIFT_RATIO
 from ..leased.model import (
     ActiveRun,
     EndpointGone,
@@ -19,7 +19,7 @@
     StartResult,
 )
 from ..leased.resources import Resources
-from ..typed_json import number, read_object, table, text, texts, whole
+from ..typed_json import get_int, get_number, get_object, get_str, get_str_list, read_object
 from .http_client import HttpCaller, HttpReply
 
 START_S = 0.08
@@ -65,7 +65,7 @@
 }
 
 
-def read_report(endpoint: str, content: dict[str, Any], address: str) -> EndpointReport:
+def decode_heartbeat(endpoint: str, content: dict[str, Any], address: str) -> EndpointReport:
     """Decode a heartbeat.
 
     Raises
@@ -74,26 +74,26 @@
         When a field is missing or of another type, or the state is not known: its writer speaks
         something else, and what it means by the rest cannot be relied on.
     """
-    room = table(content, "capacity")
-    state = text(content, "state")
+    room = get_object(content, "capacity")
+    state = get_str(content, "state")
     if state not in _STATES:
         raise ValueError(f"state {state[:40]!r} is not known")
     return EndpointReport(
         endpoint=endpoint,
-        address=text(content, "address", address),
-        service=text(content, "service"),
+        address=get_str(content, "address", address),
+        service=get_str(content, "service"),
         # ``zone`` is what this project calls a failure domain.
-        failure_domain=text(content, "zone"),
-        capacity=Resources(whole(room, "cpu"), whole(room, "mem_mb"), whole(room, "gpu", 0)),
-        labels=texts(content, "labels"),
+        failure_domain=get_str(content, "zone"),
+        capacity=Resources(get_int(room, "cpu"), get_int(room, "mem_mb"), get_int(room, "gpu", 0)),
+        labels=get_str_list(content, "labels"),
         draining=state == "draining",
-        drain_remaining_s=number(content, "drain_remaining_ms", 0) / 1000,
-        sequence=whole(content, "seq"),
-        born=whole(content, "born", UNTOLD),
+        drain_remaining_s=get_number(content, "drain_remaining_ms", 0) / 1000,
+        sequence=get_int(content, "seq"),
+        born=get_int(content, "born", UNTOLD),
     )
 
 
-def read_farewell(body: bytes) -> int:
+def decode_shutdown_notice(body: bytes) -> int:
     """When the endpoint that says it ends was started, in Unix milliseconds; 0 when untold.
 
     Raises
@@ -101,7 +101,7 @@
     ValueError
         When there is a body that cannot be read.
     """
-    return whole(read_object(body), "born", UNTOLD) if body else UNTOLD
+    return get_int(read_object(body), "born", UNTOLD) if body else UNTOLD
 
 
 class PlatformEndpoint:
@@ -116,8 +116,8 @@
     """
 
     def __init__(self, address: str, stop_s: float) -> None:
-        self._looks = HttpCaller(address, LOOKS)
-        self._orders = HttpCaller(address, ORDERS)
+        self._poll_client = HttpCaller(address, LOOKS)
+        self._command_client = HttpCaller(address, ORDERS)
         self._stop_s = stop_s
         self._headers: dict[str, str] = {}
         self._fence = 0
@@ -154,7 +154,7 @@
         body = json.dumps({"fence": fence, "acknowledged": 0, "wait_ms": 0}).encode()
         try:
             # It renews and acknowledges nothing; only who answers counts.
-            reply = self._looks.call("POST", "/v1/hold", body, START_S, headers)
+            reply = self._poll_client.call("POST", "/v1/hold", body, START_S, headers)
             if reply.status == REPLACED:
                 return False
             if reply.status != 200:
@@ -176,7 +176,7 @@
         until_ms = self._until(lease_s, asked_at)
         content = {"task": task, "run": run, "spec": payload, "until_ms": until_ms}
         try:
-            reply = self._call(self._orders, "/v1/run-start", content, START_S)
+            reply = self._call(self._command_client, "/v1/run-start", content, START_S)
             if reply.status == 200:
                 return StartResult.STARTED
             if reply.status == REPLACED:
@@ -198,7 +198,7 @@
         """Stop a run, present or still on its way; whether the endpoint confirmed it."""
         try:
             content = {"task": task, "run": run}
-            reply = self._call(self._orders, "/v1/run-stop", content, START_S)
+            reply = self._call(self._command_client, "/v1/run-stop", content, START_S)
         except NoAnswer:
             return False
         return reply.status in (200, REPLACED)
@@ -211,7 +211,7 @@
         content: dict[str, Any] = {"acknowledged": acknowledged, "wait_ms": int(wait_s * 1000)}
         if lease_s:
             content["until_ms"] = self._until(lease_s, asked_at)
-        reply = self._call(self._looks, "/v1/hold", content, timeout_s)
+        reply = self._call(self._poll_client, "/v1/hold", content, timeout_s)
         if reply.status == REPLACED:
             raise EndpointGone
         if reply.status == 409:
@@ -240,7 +240,7 @@
         meanwhile, its clock may be lower than a fence that it has seen.
         """
         content = {"acknowledged": 0, "wait_ms": 0}
-        reply = self._call(self._looks, "/v1/hold", content, START_S)
+        reply = self._call(self._poll_client, "/v1/hold", content, START_S)
         if reply.status == REPLACED:
             raise EndpointGone
         if not self._clock_ms:
@@ -248,7 +248,9 @@
         self._fence = max(int(self._clock_ms), self._lowest_fence)
 
     def _until(self, lease_s: float, asked_at: float) -> int:
-        self._lease_end = max(self._lease_end, asked_at + lease_s * CLOCK_DRIFT + self._stop_s)
+        self._lease_end = max(
+            self._lease_end, asked_at + lease_s * CLOCK_DRIFT_RATIO + self._stop_s
+        )
         return int(self._clock_ms + (asked_at - self._clock_at) * 1000 + lease_s * 1000)
 
     def _call(
@@ -268,7 +270,7 @@
 def _born_of(content: dict[str, Any]) -> int:
     """When the life that lists its runs began, in Unix milliseconds."""
     try:
-        return whole(content, "born", UNTOLD)
+        return get_int(content, "born", UNTOLD)
     except ValueError as exc:
         raise NoAnswer(f"a look that cannot be read: {exc}") from exc
 
--- a/src/gentianmux/platform/heartbeats.py
+++ b/src/gentianmux/platform/heartbeats.py
@@ -9,7 +9,7 @@
 from ..leased.agent import Agent
 from ..settings import Settings
 from ..typed_json import read_object
-from .endpoint import read_farewell, read_report
+from .endpoint import decode_heartbeat, decode_shutdown_notice
 
 _PATH = re.compile(r"/v1/instances/([^/]{1,100})/(heartbeat|deregister)\Z")
 
@@ -41,11 +41,11 @@
         try:
             body = read_body(environ, self._cfg)
             if call == "deregister":
-                self._agent.on_left(endpoint, read_farewell(body))
+                self._agent.on_shutdown_notice(endpoint, decode_shutdown_notice(body))
                 return "200 OK"
-            report = read_report(endpoint, read_object(body), self._endpoint_address)
+            report = decode_heartbeat(endpoint, read_object(body), self._endpoint_address)
         except (GentianmuxError, ValueError) as exc:
-            self._agent.on_unreadable(endpoint, str(exc))
+            self._agent.on_unreadable_heartbeat(endpoint, str(exc))
             return "400 Bad Request"
         self._agent.on_report(report)
         return "200 OK"
--- a/src/gentianmux/routing.py
+++ b/src/gentianmux/routing.py
@@ -103,7 +103,7 @@
     load: float
 
 
-def choose(
+def choose_agents(
     count: int, candidates: Iterable[Candidate], rng: Random, queue_per_slot: float = QUEUE_PER_SLOT
 ) -> list[str]:
     """Choose a process for each of ``count`` tasks, least loaded first.
@@ -115,7 +115,7 @@
     ----------
     count : int
         Tasks to place.
-    candidates : iterable of Candidate
+    candidates : iterable get_or_add Candidate
         Agents that may take them.
     rng : Random
         Source for samples and ties.
@@ -132,7 +132,7 @@
     return list(_fill(count, heap))
 
 
-def reserve_at(
+def choose_reservations(
     waiting: int, asked: int, candidates: list[Candidate], rng: Random
 ) -> dict[str, int]:
     """Where to ask for slots: one reservation a task, and a few for a task that waits alone.
@@ -143,7 +143,7 @@
         Tasks that wait.
     asked : int
         Reservations that are out already.
-    candidates : list of Candidate
+    candidates : list get_or_add Candidate
         Agents that may be asked.
     rng : Random
         Source of the choice.
--- a/src/gentianmux/shard_manager.py
+++ b/src/gentianmux/shard_manager.py
@@ -15,7 +15,7 @@
 from .job import Waiter
 from .lease import HeirLease, LeaseTimes, OwnerLease
 from .ledger import Ledger, LedgerBounds
-from .membership import State
+from .membership import ProcessState
 from .messages import (
     LeaseGrant,
     LeaseRequest,
@@ -91,7 +91,7 @@
         owned = self.owned.get(shard)
         return owned.ledger if owned is not None and owned.epoch == epoch else None
 
-    def ask_traces(self, msg: Submit, waiter: Waiter) -> None:
+    def query_traces(self, msg: Submit, waiter: Waiter) -> None:
         """Ask all agents what they know of an id before it is admitted."""
         self.traces.ask(msg, waiter)
 
@@ -101,7 +101,7 @@
 
     # What the log says
 
-    def on_fleet(self) -> None:
+    def on_fleet_change(self) -> None:
         """Follow the shard table after new records were folded."""
         me, now = self._ctx.process, self._ctx.now()
         for number, row in enumerate(self._ctx.fleet.shards):
@@ -151,7 +151,7 @@
         ahead = [each for each in msg.shards if each.base > self._ctx.fleet.version]
         if ahead:
             self._early[sender] = msg._replace(shards=ahead)
-            self._ctx.read_soon.set()
+            self._ctx.read_requested.set()
 
     def _answer_early(self) -> None:
         """Answer renewals that arrived before the records they stand on had been read."""
@@ -179,7 +179,7 @@
     def step(self) -> None:
         """One round of renewals and decisions."""
         self._renew()
-        if self._ctx.members.isolated:
+        if self._ctx.membership.isolated:
             return
         self._mend_heirs()
         self._take_over()
@@ -223,7 +223,7 @@
         if row.heir == NOBODY:
             return True
         silent_s = now - owned.valid_until_seen
-        gone = not self._ctx.members.is_alive(row.heir)
+        gone = not self._ctx.membership.is_alive(row.heir)
         return silent_s > (0 if gone else 2 * self._times.lease_s)
 
     def is_pending(self, number: int, owned: OwnedShard, row: Shard, now: float) -> bool:
@@ -270,7 +270,10 @@
         if number in self._taking and lease.is_leaving(row):
             return now - self._taking[number] > REAPPEND_S
         # A leaving owner moves its shards itself, ledgers and all; it is waited for while it lives.
-        present = self._ctx.members.state_of(row.owner) in (State.ALIVE, State.LEAVING)
+        present = self._ctx.membership.state_of(row.owner) in (
+            ProcessState.ALIVE,
+            ProcessState.LEAVING,
+        )
         if present or self._ctx.draining:
             return False
         return self._ctx.fleet.is_gone(row.owner) or lease.may_take_over(row, now)
@@ -310,7 +313,7 @@
 
     # Cancelling
 
-    def revoke_soon(self, agent: str, key: str) -> None:
+    def schedule_revoke(self, agent: str, key: str) -> None:
         """Revoke a job's tasks at an agent, together with others of the next moments."""
         if not self._revokes[agent]:
             self._ctx.clock.call_later(REVOKE_WINDOW_S, self._send_revokes, agent)
@@ -331,7 +334,7 @@
             self._ctx.log.append(STREAM, to_json(record))
         except LogError:
             self._ctx.metrics.count("log_errors")
-        self._ctx.read_soon.set()
+        self._ctx.read_requested.set()
 
     def trim(self) -> None:
         """Let ledgers forget what their bounds say."""
@@ -345,7 +348,7 @@
         return [
             join.process
             for join in ctx.fleet.processes.values()
-            if join.role != "entry" and ctx.members.is_alive(join.process)
+            if join.role != "entry" and ctx.membership.is_alive(join.process)
         ]
 
     def best(self, number: int, agents: Iterable[str]) -> str:
--- a/src/gentianmux/stream_reader.py
+++ b/src/gentianmux/stream_reader.py
@@ -22,11 +22,11 @@
     Parameters
     ----------
     ctx : NodeContext
-        The blackboard; this puts itself there as ``watch``.
+        The blackboard; this puts itself there as ``stream_reader``.
     """
 
     def __init__(self, ctx: NodeContext) -> None:
-        ctx.watch = self
+        ctx.stream_reader = self
         self._ctx = ctx
         self.followers = {
             config_state.STREAM: Follower(ctx.log, config_state.STREAM, ctx.config),
@@ -38,13 +38,13 @@
     def run(self) -> None:
         """Read for as long as the process lives."""
         while True:
-            own_append = self._ctx.read_soon.is_set()
-            self._ctx.read_soon.clear()
+            own_append = self._ctx.read_requested.is_set()
+            self._ctx.read_requested.clear()
             if own_append or self._ctx.cfg.read_from == FROM_LOG or not self._has_source():
                 self.read()
             else:
                 self.pull()
-            self._ctx.read_soon.wait(self._ctx.cfg.tail_ms / 1000)
+            self._ctx.read_requested.wait(self._ctx.cfg.tail_ms / 1000)
 
     def read(self) -> bool:
         """Read both streams to their ends; false when the log did not answer."""
@@ -63,26 +63,29 @@
     def _after_reading(self, fresh: int) -> None:
         ctx = self._ctx
         config, fleet = self.followers.values()
-        ctx.members.versions = Versions(config.next_offset - 1, fleet.next_offset - 1)
-        ctx.members.learn(ctx.fleet.processes.values(), ctx.now())
+        ctx.membership.versions = Versions(config.next_offset - 1, fleet.next_offset - 1)
+        ctx.membership.add_joined(ctx.fleet.processes.values(), ctx.now())
         if fresh and ctx.is_agent:
-            ctx.shard_manager.on_fleet()
-        if fresh and ctx.me.role != "agent":
-            ctx.dispatcher.on_fleet()
+            ctx.shard_manager.on_fleet_change()
+        if fresh and ctx.identity.role != "agent":
+            ctx.dispatcher.on_fleet_change()
 
     # Peers
 
     def _has_source(self) -> bool:
-        return any(self._ctx.members.is_alive(each) for each in self._ctx.members.heard)
+        return any(
+            self._ctx.membership.is_alive(each) for each in self._ctx.membership.peer_versions
+        )
 
     def pull(self) -> None:
         """Ask a peer that is ahead for what this process has not read."""
-        heard = self._ctx.members.heard
+        heard = self._ctx.membership.peer_versions
         for number, (stream, follower) in enumerate(self.followers.items()):
             ahead = [
                 process
                 for process, versions in heard.items()
-                if versions[number] >= follower.next_offset and self._ctx.members.is_alive(process)
+                if versions[number] >= follower.next_offset
+                and self._ctx.membership.is_alive(process)
             ]
             if ahead:
                 source = self._ctx.rng.choice(ahead)
@@ -119,7 +122,7 @@
         if joined or ctx.draining or ctx.now() - self._announced < ANNOUNCE_AGAIN_S:
             return
         self._announced = ctx.now()
-        ctx.clock.call_soon(self.append, fleet_state.STREAM, to_json(ctx.me))
+        ctx.clock.call_soon(self.append, fleet_state.STREAM, to_json(ctx.identity))
 
     def append(self, stream: str, data: str) -> bool:
         """Append to a stream; false when it is not known whether that took effect."""
@@ -129,7 +132,7 @@
         except LogError:
             self._ctx.metrics.count("log_errors")
             return False
-        self._ctx.read_soon.set()
+        self._ctx.read_requested.set()
         return True
 
     def leave(self, records_to: str = "") -> bool:
@@ -145,7 +148,7 @@
                 self.append(stream, follower.fold.snapshot())
 
     def _is_writer(self, number: int) -> bool:
-        live = [each.process for each in self._ctx.members.alive()]
+        live = [each.process for each in self._ctx.membership.alive()]
         chosen = max(live, key=lambda each: rendezvous(number, each), default="")
         return chosen == self._ctx.process
 
--- a/src/gentianmux/typed_json.py
+++ b/src/gentianmux/typed_json.py
@@ -35,7 +35,7 @@
     raise ValueError(f"{name} is no number")
 
 
-def text(content: Mapping[str, Any], name: str, default: Any = _MISSING) -> str:
+def get_str(content: Mapping[str, Any], name: str, default: Any = _MISSING) -> str:
     """A text field that is not empty; raises ``ValueError`` for anything else."""
     value = content.get(name, default)
     if value is default and default is not _MISSING:
@@ -45,7 +45,7 @@
     return value
 
 
-def texts(content: Mapping[str, Any], name: str) -> tuple[str, ...]:
+def get_str_list(content: Mapping[str, Any], name: str) -> tuple[str, ...]:
     """A list of texts, empty when the field is missing; raises ``ValueError`` for anything else."""
     value = content.get(name, ())
     if isinstance(value, str) or not isinstance(value, Sequence):
@@ -55,7 +55,7 @@
     return tuple(value)
 
 
-def whole(content: Mapping[str, Any], name: str, default: Any = _MISSING) -> int:
+def get_int(content: Mapping[str, Any], name: str, default: Any = _MISSING) -> int:
     """A whole number of zero or more; raises ``ValueError`` for anything else."""
     value = content.get(name, default)
     if type(value) is not int or not 0 <= value <= LARGEST:
@@ -63,7 +63,7 @@
     return value
 
 
-def number(content: Mapping[str, Any], name: str, default: Any = _MISSING) -> float:
+def get_number(content: Mapping[str, Any], name: str, default: Any = _MISSING) -> float:
     """A finite number of zero or more; raises ``ValueError`` for anything else."""
     value = content.get(name, default)
     if type(value) not in (int, float) or not 0 <= value <= LARGEST:
@@ -71,7 +71,7 @@
     return float(value)
 
 
-def flag(content: Mapping[str, Any], name: str) -> bool:
+def get_bool(content: Mapping[str, Any], name: str) -> bool:
     """True or false; raises ``ValueError`` for anything else."""
     value = content.get(name)
     if not isinstance(value, bool):
@@ -79,7 +79,7 @@
     return value
 
 
-def table(content: Mapping[str, Any], name: str) -> dict[str, Any]:
+def get_object(content: Mapping[str, Any], name: str) -> dict[str, Any]:
     """A nested object; raises ``ValueError`` for anything else."""
     value = content.get(name)
     if not isinstance(value, dict):
--- a/src/gentianmux/witness.py
+++ b/src/gentianmux/witness.py
@@ -3,7 +3,7 @@
 from .errors import LogError
 from .fleet_records import Evict, to_json
 from .fleet_state import STREAM
-from .membership import State
+from .membership import ProcessState
 from .messages import MemberUpdate
 from .node_context import NodeContext
 from .shard_manager import rendezvous
@@ -33,8 +33,10 @@
 
     def on_change(self, update: MemberUpdate) -> None:
         """React to a change of what membership thinks of a process."""
-        if update.state in (State.SUSPECT, State.DEAD) and self._is_chosen(update.process):
-            self._ctx.peers.knock(update.process)
+        if update.state in (ProcessState.SUSPECT, ProcessState.DEAD) and self._is_chosen(
+            update.process
+        ):
+            self._ctx.peers.ensure_connected(update.process)
 
     def on_refused(self, process: str) -> None:
         """Append that a process has ended: its heirs at once, chosen witnesses a moment later."""
@@ -61,11 +63,13 @@
     def check_dead(self) -> None:
         """Look again at dead processes that the log still names."""
         for process in list(self._ctx.fleet.processes):
-            if self._ctx.members.state_of(process) is State.DEAD and self._is_chosen(process):
-                self._ctx.peers.knock(process)
+            if self._ctx.membership.state_of(process) is ProcessState.DEAD and self._is_chosen(
+                process
+            ):
+                self._ctx.peers.ensure_connected(process)
 
     def _is_chosen(self, process: str) -> bool:
-        live = [each.process for each in self._ctx.members.alive()]
+        live = [each.process for each in self._ctx.membership.alive()]
         number = sum(process.encode())
         chosen = sorted(live, key=lambda each: rendezvous(number, each))[-WITNESSES:]
         return self._ctx.process in chosen
@@ -77,4 +81,4 @@
             self._ctx.log.append(STREAM, to_json(record))
         except LogError:
             self._ctx.metrics.count("log_errors")
-        self._ctx.read_soon.set()
+        self._ctx.read_requested.set()
--- a/standins/platform_endpoint.py
+++ b/standins/platform_endpoint.py
@@ -37,7 +37,7 @@
 
     Attributes
     ----------
-    lose_answers, late_orders : int
+    unanswered_calls, delayed_starts : int
         Starts that are done without an answer; that are done ``late_s`` later without one.
     garbage : bytes
         What every call answers instead; empty for the truth.
@@ -57,8 +57,8 @@
     def __init__(self, instance: str, cpu: int = 16000, cpu_of_task: int = 1600) -> None:
         self.instance = instance
         self.cpu = cpu
-        self.lose_answers = 0
-        self.late_orders = 0
+        self.unanswered_calls = 0
+        self.delayed_starts = 0
         self.late_s = 0.5
         self.garbage = b""
         self.draining = False
@@ -68,9 +68,9 @@
         self._ended = Event()
         self._lives = 0
         self._life_of: WeakKeyDictionary[Any, int] = WeakKeyDictionary()
-        self.start_again(CLOCK_START_MS)
+        self.restart(CLOCK_START_MS)
 
-    def start_again(self, clock_start_ms: int = 0) -> None:
+    def restart(self, clock_start_ms: int = 0) -> None:
         """Begin a life under the same id, which holds and knows nothing of an earlier one.
 
         Connections of the earlier one are broken, as by a crash.
@@ -115,7 +115,7 @@
         if self.garbage:
             start_response("200 OK", [("Content-Length", str(len(self.garbage)))])
             return [self.garbage]
-        if call == self._start and (self.late_orders or self.lose_answers):
+        if call == self._start and (self.delayed_starts or self.unanswered_calls):
             return self._unanswered(environ, body)
         status, content = self._fenced(call, body)
         if life != self._lives:
@@ -124,11 +124,11 @@
         return _answer(start_response, status, {**content, "clock_ms": self.clock_ms()})
 
     def _unanswered(self, environ: dict[str, Any], body: dict[str, Any]) -> Iterable:
-        if self.late_orders:
-            self.late_orders -= 1
+        if self.delayed_starts:
+            self.delayed_starts -= 1
             gevent.spawn_later(self.late_s, self._fenced, self._start, body)
         else:
-            self.lose_answers -= 1
+            self.unanswered_calls -= 1
             self._fenced(self._start, body)
         environ["gentianmux.socket"].close()
         return []
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -14,8 +14,8 @@
 from gentianmux.leased.admission import urgency
 from gentianmux.leased.backlog import Backlog
 from gentianmux.leased.candidates import Candidates
-from gentianmux.leased.fleet_view import AgentView, FleetView, Wish
-from gentianmux.leased.job_state import JobState, Prospect
+from gentianmux.leased.fleet_view import AgentView, FleetView, PlacementRequest
+from gentianmux.leased.job_state import JobState, Timeliness
 from gentianmux.leased.model import JobSpec, QueueConfig, RunOutcome, StepSpec
 from gentianmux.leased.resources import Resources
 from gentianmux.messages import AgentLoad, EndpointState
@@ -37,14 +37,14 @@
         task = one.out()[0]
         one.ended(task.name, task.run, RunOutcome.NO_ROOM)
     else:
-        one.prospect = Prospect.LATE
+        one.timeliness = Timeliness.LATE
 
 
 def assert_as_plain(backlog: Backlog, waiting: dict[str, JobState]) -> None:
     for service in "st":
         mine = [each for each in waiting.values() if each.queue.service == service]
-        assert [urgency(each) for each in backlog.of(service)] == sorted(map(urgency, mine))
-        assert {id(each) for each in backlog.of(service)} == set(map(id, mine))
+        assert [urgency(each) for each in backlog.get_or_add(service)] == sorted(map(urgency, mine))
+        assert {id(each) for each in backlog.get_or_add(service)} == set(map(id, mine))
         demands = backlog.demands(service)
         kinds = sorted({urgency(each)[:3] for each in mine})
         assert [demand.kind for demand in demands] == kinds
@@ -86,11 +86,11 @@
 def fleet(rng: Random, agents: int = 12) -> FleetView:
     view = FleetView(0.55, rng)
     for number in range(agents):
-        agent = view.of(f"w{number}.1")
+        agent = view.get_or_add(f"w{number}.1")
         agent.state = EndpointState(f"x{number}", "s", "fd", 16000, 9999, 0, ["a", "b"], True)
         cpu, slow = rng.randrange(0, 16000), rng.choice([80, 100, 150])
         longest_ms = rng.choice([50, 9000])
-        agent.take_load(AgentLoad(1, 0, cpu, 9999, 0, slow, 1, 1, longest_ms), 1.0)
+        agent.apply_report(AgentLoad(1, 0, cpu, 9999, 0, slow, 1, 1, longest_ms), 1.0)
     return view
 
 
@@ -102,30 +102,32 @@
 def test_the_best_agent_by_the_kept_order_is_the_best_of_all(seed: int) -> None:
     rng = Random(seed)
     view = fleet(rng)
-    serving = view.willing("s", 1.0)
+    serving = view.eligible("s", 1.0)
     candidates = Candidates(view, serving)
     for number in range(40):
         avoid = frozenset({"x1", "x4"}) if rng.random() < 0.2 else frozenset()
-        wish = Wish("s", Resources(rng.randrange(400, 5000), 64), avoid=avoid, estimate_ms=100)
-        best = view.choose(wish, serving)
-        taken = candidates.take(wish)
+        request = PlacementRequest(
+            "s", Resources(rng.randrange(400, 5000), 64), avoid=avoid, estimate_ms=100
+        )
+        best = view.choose(request, serving)
+        taken = candidates.take(request)
         assert (taken is None) == (best is None)
         if taken is None or best is None:
             continue
         assert weight_of(view, taken) == weight_of(view, best)
-        assert taken.free.fits(wish.need) and taken.longest_ms >= 100
-        taken.reserve(number + 1, wish.need)
+        assert taken.free.fits(request.need) and taken.longest_ms >= 100
+        taken.reserve(number + 1, request.need)
 
 
 def test_room_is_counted_once_reserved_and_again_once_reported() -> None:
     agent = AgentView("w0.1")
-    agent.take_load(AgentLoad(1, 0, 8000, 100, 0, 100, 1, 1, 9000), 1.0)
+    agent.apply_report(AgentLoad(1, 0, 8000, 100, 0, 100, 1, 1, 9000), 1.0)
     agent.reserve(1, Resources(3000, 10))
     agent.reserve(2, Resources(1000, 10))
     assert agent.free == Resources(4000, 80)
-    agent.take_load(AgentLoad(2, 1, 5000, 90, 0, 100, 1, 1, 9000), 1.1)
+    agent.apply_report(AgentLoad(2, 1, 5000, 90, 0, 100, 1, 1, 9000), 1.1)
     assert agent.free == Resources(4000, 80)
-    agent.take_load(AgentLoad(3, 2, 4000, 80, 0, 100, 1, 1, 9000), 1.2)
+    agent.apply_report(AgentLoad(3, 2, 4000, 80, 0, 100, 1, 1, 9000), 1.2)
     assert agent.free == Resources(4000, 80)
 
 
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -20,15 +20,15 @@
 import pytest
 from platform_deployment import Deployment, job_body, served
 from test_leased_parts import fleet
-from test_leased_world import _disturb, assert_kept, outcome, ready_world
+from test_leased_world import _inject_fault, assert_invariants_hold, outcome, ready_world
 from test_platform_adapter import REPORT, SPEC
 
 from bench.leased_endpoint import Work
 from bench.leased_world import World
 from gentianmux.leased.agent import Agent
 from gentianmux.leased.directory import Announcement, decode_announcement
-from gentianmux.leased.endpoint_word import Word, judge
-from gentianmux.leased.fleet_view import Wish
+from gentianmux.leased.fleet_view import PlacementRequest
+from gentianmux.leased.heartbeat_kind import Word, judge
 from gentianmux.leased.job_state import JobOutcome
 from gentianmux.leased.model import (
     ActiveRun,
@@ -45,7 +45,7 @@
 from gentianmux.leased.resources import Resources
 from gentianmux.leased.run_table import RunTable
 from gentianmux.messages import Assign, LeasedTask
-from gentianmux.platform.endpoint import PlatformEndpoint, read_farewell, read_report
+from gentianmux.platform.endpoint import PlatformEndpoint, decode_heartbeat, decode_shutdown_notice
 from gentianmux.platform.http_client import HttpReply
 from standins.platform_endpoint import PlatformEndpointApp
 
@@ -75,7 +75,7 @@
         world.submit("e0", tasks=2, run_s=0.2)
     world.run(0.1)
     assert endpoint.active == {}
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 # At 1.0 s its heartbeat is the first that the agent hears of it, at 1.2 s its answer to a look.
@@ -90,14 +90,14 @@
     world.run(2.0)
     assert {outcome(job) for job in before + jobs} == {JobOutcome.COMPLETED}
     assert world.starts == 30
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_an_agent_follows_its_endpoint_through_a_start(deployment: Deployment) -> None:
     endpoint = deployment.endpoints["side-0"]
     for number in range(4):
         assert deployment.submit(f"00000000000000a{number}", job_body()) == (200, COMPLETED)
-    endpoint.start_again()
+    endpoint.restart()
     gevent.sleep(0.8)
     before = len(endpoint.starts)
     assert deployment.submit("00000000000000b1", job_body()) == (200, COMPLETED)
@@ -113,7 +113,7 @@
 ) -> None:
     endpoint = deployment.endpoints["side-0"]
     assert deployment.submit("00000000000000c1", job_body()) == (200, COMPLETED)
-    endpoint.start_again(clock_start_ms=1)
+    endpoint.restart(clock_start_ms=1)
     gevent.sleep(0.8)
     assert deployment.submit("00000000000000c2", job_body()) == (200, COMPLETED)
     # The earlier clock began 5 s higher, and so did the fence that the present life has seen.
@@ -202,7 +202,7 @@
     # A look that met silence takes 0.24 s; the next heartbeat comes 0.45 s from here.
     world.run(0.3)
     assert agent.report is None
-    assert agent.looks.answering
+    assert agent.poller.answering
     assert not agent.is_accepting
     world.run(0.6)
     assert agent.is_accepting
@@ -265,7 +265,7 @@
 
     def look_meanwhile(report: EndpointReport) -> bool | None:
         for _ in range(3):
-            agent.look()
+            agent.poll()
         return is_present(report)
 
     with pytest.MonkeyPatch.context() as patch:
@@ -285,11 +285,11 @@
     world.run(1.5)
     job = world.submit("e0", tasks=6, run_s=0.5)
     world.run(0.1)
-    agent_of(world).on_left(earlier.name, earlier.born if told else 0)
+    agent_of(world).on_shutdown_notice(earlier.name, earlier.born if told else 0)
     world.run(1.0)
     assert outcome(job) is JobOutcome.COMPLETED
     assert world.starts == 6
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_a_start_that_reached_a_later_life_outlives_the_farewell_of_the_earlier_one() -> None:
@@ -305,16 +305,16 @@
     job = world.submit("e0", tasks=8, run_s=0.5)
     while not machine.endpoint.active:
         world.run(0.001)
-    agent.on_left(earlier.name, earlier.born)
+    agent.on_shutdown_notice(earlier.name, earlier.born)
     world.run(3.0)
     assert outcome(job) is JobOutcome.COMPLETED
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_the_farewell_of_the_present_life_is_believed() -> None:
     world = ready_world(agents=1)
     endpoint = world.machines["w0"].endpoint
-    agent_of(world).on_left(endpoint.name, endpoint.born)
+    agent_of(world).on_shutdown_notice(endpoint.name, endpoint.born)
     assert agent_of(world).report is None
     endpoint.up = False
     world.run(0.1)
@@ -327,7 +327,7 @@
     endpoint = world.machines["w0"].endpoint
     task = LeasedTask("00000000000000aa.0.0.0", 1, 0, 1600, 64, 0, 200)
     world.works[task.name] = (StepSpec(1, Resources(1600, 64), 200), Work(0.2))
-    echo = world.entries["e0"].view.of("w0.1").newest_load  # type: ignore[union-attr]
+    echo = world.entries["e0"].view.get_or_add("w0.1").newest_load  # type: ignore[union-attr]
     agent.on_message(Assign(echo, 1, [task], [], [pack("x")]), "e0.1")
     assert (task.name, 1) in agent.table.runs
     endpoint.born += 1
@@ -348,7 +348,7 @@
     world.restart_endpoint("w0", down_s)
     world.run(6.0)
     assert {outcome(job) for job in jobs} == {JobOutcome.COMPLETED}
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 @pytest.mark.parametrize("seed", [*range(24), 38, 77, 88, 93, 160, 278, 301, 334, 429, 2005])
@@ -362,7 +362,7 @@
             world.submit(entry, tasks=rng.randrange(1, 9), run_s=rng.choice([0.06, 0.2, 0.9]))
         world.run(rng.uniform(0.01, 0.3))
     world.run(9.0)
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def _disturb_endpoints(world: World, rng: Random) -> None:
@@ -376,10 +376,12 @@
     elif what == 1:
         machine.endpoint.draining = True
     elif what == 2 and machine.endpoint.draining and machine.endpoint.up:
-        agent_of(world, machine.name).on_left(machine.endpoint.name, machine.endpoint.born)
+        agent_of(world, machine.name).on_shutdown_notice(
+            machine.endpoint.name, machine.endpoint.born
+        )
         world.replace_endpoint(machine.name)
     else:
-        _disturb(world, rng)
+        _inject_fault(world, rng)
 
 
 def _arrive_late(
@@ -388,7 +390,7 @@
     """Let the last words of an earlier life arrive, unless nobody is there to take them."""
     if world.process_of(name) in world.alive:
         agent_of(world, name).on_report(report)
-        agent_of(world, name).on_left(*farewell)
+        agent_of(world, name).on_shutdown_notice(*farewell)
 
 
 # The account of runs
@@ -438,7 +440,7 @@
 
 
 def report_of(app: PlatformEndpointApp) -> EndpointReport:
-    return read_report(app.instance, {**REPORT, "born": app.born}, "10.0.0.1:80")
+    return decode_heartbeat(app.instance, {**REPORT, "born": app.born}, "10.0.0.1:80")
 
 
 @contextmanager
@@ -455,7 +457,7 @@
 def test_a_look_tells_that_the_endpoint_has_started_again() -> None:
     with attached() as (app, driver):
         gevent.sleep(0.01)
-        app.start_again()
+        app.restart()
         with pytest.raises(NoAnswer):
             driver.hold(0, 0.0, 0.5, 1.0)
         with pytest.raises(EndpointStartedAgain) as caught:
@@ -486,7 +488,7 @@
         driver = PlatformEndpoint(address, 0.05)
         driver.attach(report_of(earlier))
         driver.hold(0, 0.0, 0.5, 1.0)
-        driver._looks = PlatformEndpoint(other, 0.05)._looks
+        driver._poll_client = PlatformEndpoint(other, 0.05)._poll_client
         assert driver.is_present(report_of(later)) is True
         assert driver.is_present(report_of(earlier)) is False
         assert later.fence == 0
@@ -500,7 +502,7 @@
 
 def test_leases_are_counted_by_the_clock_of_the_present_life() -> None:
     with attached() as (app, driver):
-        app.start_again(clock_start_ms=70)
+        app.restart(clock_start_ms=70)
         driver.attach(report_of(app))
         with pytest.raises(NoAnswer):
             driver.hold(0, 0.0, 0.0, 1.0)
@@ -518,7 +520,7 @@
             return HttpReply(200, b'{"clock_ms": 900000}')
 
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(driver._orders, "call", answer_late)
+            patch.setattr(driver._command_client, "call", answer_late)
             driver.stop("t", 1)
         assert driver._clock_ms == 0.0
 
@@ -530,7 +532,7 @@
         earlier = PlatformEndpoint(address, 0.05)
         earlier.attach(report_of(app))
         earlier.hold(0, 0.0, 0.5, 1.0)
-        app.start_again(clock_start_ms=3)
+        app.restart(clock_start_ms=3)
         # Meant for the earlier life: the present one now knows the earlier fence.
         while not earlier.stop("t", 1):
             continue
@@ -548,19 +550,19 @@
 
 @pytest.mark.parametrize("body, born", [(b"", 0), (b"{}", 0), (b'{"born": 12}', 12)])
 def test_a_farewell_may_tell_the_start(body: bytes, born: int) -> None:
-    assert read_farewell(body) == born
+    assert decode_shutdown_notice(body) == born
 
 
 @pytest.mark.parametrize("body", [b"[]", b'{"born": "12"}', b'{"born": -1}', b'{"born": 1.5}'])
 def test_a_farewell_that_cannot_be_read_is_refused(body: bytes) -> None:
     with pytest.raises(ValueError):
-        read_farewell(body)
+        decode_shutdown_notice(body)
 
 
 @pytest.mark.parametrize("born", ["1", 1.5, None, True, -1, [1]])
 def test_a_heartbeat_with_a_foreign_start_is_none(born: object) -> None:
     with pytest.raises(ValueError):
-        read_report("i-1", {**REPORT, "born": born}, "10.0.0.1:80")
+        decode_heartbeat("i-1", {**REPORT, "born": born}, "10.0.0.1:80")
 
 
 # Entries and store
@@ -571,10 +573,10 @@
     agent = view.agents["a.1"]
     assert agent.state is not None
     agent.state = agent.state._replace(born=100)
-    wish = Wish("s", Resources(1600, 64), avoid=frozenset({agent.state.incarnation}))
-    assert view.choose(wish, view.willing("s", 1.0)) is None
+    request = PlacementRequest("s", Resources(1600, 64), avoid=frozenset({agent.state.incarnation}))
+    assert view.choose(request, view.eligible("s", 1.0)) is None
     agent.state = agent.state._replace(born=200)
-    assert view.choose(wish, view.willing("s", 1.0)) is agent
+    assert view.choose(request, view.eligible("s", 1.0)) is agent
 
 
 def test_what_is_announced_follows_the_life_at_work() -> None:
@@ -585,13 +587,13 @@
     def announce(report: EndpointReport | None) -> None:
         announced.append(None if report is None else (report.born, report.draining))
 
-    agent_of(world).on_endpoint = announce
+    agent_of(world).on_report_change = announce
     endpoint.draining = True
     world.run(0.6)
     world.restart_endpoint("w0", down_s=0.1)
     world.run(1.0)
     again = world.machines["w0"].endpoint
-    agent_of(world).on_left(again.name, again.born)
+    agent_of(world).on_shutdown_notice(again.name, again.born)
     assert announced == [(endpoint.born, True), (again.born, False), None]
 
 
@@ -622,4 +624,4 @@
     job = world.submit("e0", tasks=4, run_s=0.2)
     world.run(0.5)
     assert outcome(job) is JobOutcome.COMPLETED
-    assert_kept(world)
+    assert_invariants_hold(world)
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -46,7 +46,7 @@
     assert begun_in(world, "fd1") == before > 0
     world.run(3.0)
     assert world.breaches == []
-    assert {job.ticket.verdict.outcome for job in world.asked} == {JobOutcome.COMPLETED}
+    assert {job.handle.result.outcome for job in world.asked} == {JobOutcome.COMPLETED}
     assert world.wasted_runs == 0 and len(early) == 4
 
 
@@ -123,7 +123,7 @@
     rows = [row for msg in sent if isinstance(msg, EndedRuns) for row in msg.runs]
     assert rows and {RunOutcome(row.how) for row in rows} == {RunOutcome.DRAINING}
     assert begun_in(world, "fd1") == 0
-    assert {job.ticket.verdict.outcome for job in jobs} == {JobOutcome.COMPLETED}
+    assert {job.handle.result.outcome for job in jobs} == {JobOutcome.COMPLETED}
 
 
 def test_a_run_taken_on_right_before_the_evacuation_is_not_started() -> None:
@@ -145,10 +145,10 @@
     world.run(0.05)
     job = world.submit("e0", tasks=2)
     world.run(0.05)
-    verdict = job.ticket.verdict
-    assert verdict is not None
-    assert verdict.outcome is JobOutcome.NOT_RUN
-    assert verdict.retry_after_s > 1
+    result = job.handle.result
+    assert result is not None
+    assert result.outcome is JobOutcome.NOT_RUN
+    assert result.retry_after_s > 1
     assert world.false_refusals() == []
 
 
@@ -158,9 +158,9 @@
     view = world.entries["e0"].view
     assert view is not None
     expected = view.capacity_cpu("s", world.time)
-    view.expect("w100", "s", "fd1", 16000, world.time)
+    view.expect_agent("w100", "s", "fd1", 16000, world.time)
     assert view.capacity_cpu("s", world.time) == expected
-    view.expect("w101", "s", "fd2", 16000, world.time)
+    view.expect_agent("w101", "s", "fd2", 16000, world.time)
     assert view.capacity_cpu("s", world.time) == expected + 16.0
 
 
@@ -169,7 +169,9 @@
     view = world.entries["e0"].view
     assert view is not None
     world.evacuate("fd1", readers=["e0"])
-    willing = {agent.state.failure_domain for agent in view.willing("s", world.time) if agent.state}
+    willing = {
+        agent.state.failure_domain for agent in view.eligible("s", world.time) if agent.state
+    }
     assert willing == {"fd0", "fd2"}
 
 
@@ -180,25 +182,25 @@
 @pytest.mark.parametrize("position", [3, 7])
 def test_an_account_that_is_no_newer_changes_nothing(position: int) -> None:
     known = feed()
-    known.offered(Evacuations(7, ("fd1",)), "peer")
-    known.offered(Evacuations(position, ()), "peer")
+    known.apply_if_newer(Evacuations(7, ("fd1",)), "peer")
+    known.apply_if_newer(Evacuations(position, ()), "peer")
     assert known.current == Evacuations(7, ("fd1",))
 
 
 def test_a_store_that_lags_behind_a_peer_does_not_bring_an_evacuation_back() -> None:
     known = feed()
-    known.read_all(["fd1"], 4)
-    known.offered(Evacuations(6, ("fd2",)), "peer")
-    known.read_changes([], 5)
+    known.apply_snapshot(["fd1"], 4)
+    known.apply_if_newer(Evacuations(6, ("fd2",)), "peer")
+    known.apply_changes([], 5)
     assert known.current.failure_domains == ("fd2",)
-    known.read_changes([("fd1", False), ("fd2", True)], 7)
+    known.apply_changes([("fd1", False), ("fd2", True)], 7)
     assert known.current == Evacuations(7, ("fd2",))
 
 
 def test_a_lost_history_ends_no_evacuation_and_a_deleted_record_does() -> None:
     known = feed()
-    known.read_all(["fd1"], 4)
-    known.read_all(["fd1"], 90)
+    known.apply_snapshot(["fd1"], 4)
+    known.apply_snapshot(["fd1"], 90)
     assert known.covers("fd1")
-    known.read_all([], 91)
+    known.apply_snapshot([], 91)
     assert not known.covers("fd1")
--- a/tests/test_foreign_records.py
+++ b/tests/test_foreign_records.py
@@ -6,7 +6,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from test_leased_world import assert_kept, outcome, ready_world
+from test_leased_world import assert_invariants_hold, outcome, ready_world
 from test_platform_adapter import REPORT as HEARTBEAT
 
 from gentianmux.codes import ResultCode
@@ -18,7 +18,7 @@
 from gentianmux.leased.resources import Resources
 from gentianmux.metrics import Metrics
 from gentianmux.platform.config import CONFIG_SOURCE, decode_config
-from gentianmux.platform.endpoint import read_report
+from gentianmux.platform.endpoint import decode_heartbeat
 from gentianmux.platform_log import Changes, Newest
 from gentianmux.settings import Settings
 from gentianmux.typed_json import read_object
@@ -63,20 +63,20 @@
 )
 def test_a_heartbeat_with_a_foreign_field_is_none(field: str, value: object) -> None:
     with pytest.raises(ValueError):
-        read_report("i-1", {**HEARTBEAT, field: value}, "10.0.0.1:80")
+        decode_heartbeat("i-1", {**HEARTBEAT, field: value}, "10.0.0.1:80")
 
 
 @pytest.mark.parametrize("missing", ["service", "zone", "state", "capacity", "seq"])
 def test_a_heartbeat_without_a_field_is_none(missing: str) -> None:
     content = {name: value for name, value in HEARTBEAT.items() if name != missing}
     with pytest.raises(ValueError):
-        read_report("i-1", content, "10.0.0.1:80")
+        decode_heartbeat("i-1", content, "10.0.0.1:80")
 
 
 @given(st.sampled_from(sorted(HEARTBEAT)), anything)
 def test_any_heartbeat_is_read_whole_or_refused(field: str, value: object) -> None:
     try:
-        report = read_report("i-1", {**HEARTBEAT, field: value}, "10.0.0.1:80")
+        report = decode_heartbeat("i-1", {**HEARTBEAT, field: value}, "10.0.0.1:80")
     except ValueError:
         return
     assert all(type(amount) is int and amount >= 0 for amount in report.capacity)
@@ -191,14 +191,14 @@
     rng = Random(5)
     for number in range(60):
         writer = rng.choice([known.endpoint, f"foreign-{number % 4}"])
-        agent.on_unreadable(writer, "seq is no whole number")
+        agent.on_unreadable_heartbeat(writer, "seq is no whole number")
     agent.on_report(known._replace(service="of-nobody", sequence=10**9))
     assert agent.report == known
     assert agent.is_accepting
     job = world.submit("e0", tasks=8, run_s=0.12)
     world.run(0.3)
     assert outcome(job) is JobOutcome.COMPLETED
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_the_topic_of_announcements_stays_as_it_is() -> None:
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -11,9 +11,9 @@
 from bench.leased_world import World
 from bench.scenario import USUAL
 from gentianmux.leased.backlog import Backlog
-from gentianmux.leased.claiming import MAX_CLAIMS, claims_of, signature
+from gentianmux.leased.claims import MAX_CLAIMS, claims_of, signature
 from gentianmux.leased.grants import GRANT_S, LATE_RESERVE, PASS_OVER_S, Grants, split
-from gentianmux.leased.job_state import JobState, Prospect
+from gentianmux.leased.job_state import JobState, Timeliness
 from gentianmux.leased.model import JobSpec, QueueConfig, StepSpec
 from gentianmux.leased.resources import NO_RESOURCES, Resources
 from gentianmux.messages import Claim
@@ -204,7 +204,7 @@
 
 def test_claims_sum_up_what_waits_by_urgency() -> None:
     late, first, second = waiting_job(1), waiting_job(2, cpu=2000), waiting_job(3, priority=2)
-    late.prospect = Prospect.LATE
+    late.timeliness = Timeliness.LATE
     found = claimed(late, second, first, waiting_job(4))
     assert [(c.cpu, c.least_cpu, c.late, c.priority) for c in found] == [
         (9000, 2000, False, 0),
@@ -262,5 +262,5 @@
     # It waited behind the larger one for room of 3,000, beside 1,600 that nobody used.
     assert small.ended_at is not None
     world.run(1.0)
-    assert large.ticket.verdict is not None
+    assert large.handle.result is not None
     assert world.breaches == []
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -19,12 +19,12 @@
     retry_after_s,
     urgency,
 )
+from gentianmux.leased.endpoint_health import FAILED_IN_A_ROW, EndpointHealth
 from gentianmux.leased.entry_leases import ENTRY_LEASE_S, EntryLeases, leases_expire_at
-from gentianmux.leased.fleet_view import LOOKED_AT, FleetView, Wish
-from gentianmux.leased.health import FAILED_IN_A_ROW, EndpointHealth
-from gentianmux.leased.job_state import JobState, Phase, Prospect
+from gentianmux.leased.fleet_view import LOOKED_AT, FleetView, PlacementRequest
+from gentianmux.leased.job_state import JobState, Phase, Timeliness
 from gentianmux.leased.model import JobSpec, QueueConfig, RunOutcome, StepSpec
-from gentianmux.leased.progress import STALL_S, Progress
+from gentianmux.leased.progress import STALL_S, RunProgress
 from gentianmux.leased.resources import ResourcePool, Resources
 from gentianmux.leased.settings import LeasedSettings, lease_s
 from gentianmux.messages import AgentLoad, EndpointState
@@ -62,13 +62,13 @@
 def test_the_chain_counts_from_the_sending_of_the_report_that_was_echoed() -> None:
     side = EntryLeases()
     for number in range(1, 11):
-        side.sent(number, number / 10)
-    side.echoed("e", 3)
+        side.record_sent(number, number / 10)
+    side.record_echo("e", 3)
     assert side.holds("e", 0.3 + ENTRY_LEASE_S - 0.01)
     assert not side.holds("e", 0.3 + ENTRY_LEASE_S + 0.01)
-    side.echoed("e", 2)
+    side.record_echo("e", 2)
     assert side.holds("e", 0.3 + ENTRY_LEASE_S - 0.01)
-    side.echoed("e", 99)
+    side.record_echo("e", 99)
     assert not side.holds("e", 2.0)
 
 
@@ -101,12 +101,12 @@
 
 
 def test_a_run_stalls_only_when_its_progress_stands_still() -> None:
-    progress = Progress(0.0)
+    progress = RunProgress(0.0)
     for step in range(1, 20):
         progress = progress.seen(step, step * 0.1)
         assert not progress.is_stalled(step * 0.1 + 0.1)
     assert progress.is_stalled(1.9 + STALL_S + 0.01)
-    assert progress.heading_for_ms(1.9) == pytest.approx(10_000, rel=0.01)
+    assert progress.projected_ms(1.9) == pytest.approx(10_000, rel=0.01)
 
 
 # The fleet
@@ -115,38 +115,38 @@
 def fleet(now: float, frees: dict[str, int], slowness: dict[str, int] | None = None) -> FleetView:
     view = FleetView(0.55, Random(1))
     for name, cpu in frees.items():
-        agent = view.of(f"{name}.1")
+        agent = view.get_or_add(f"{name}.1")
         agent.state = EndpointState(f"{name}-x", "s", "fd1", 16000, 999, 0, ["a"], True)
         load = AgentLoad(1, 0, cpu, 999, 0, (slowness or {}).get(name, 100), 1, 1, 9000)
-        agent.take_load(load, now)
+        agent.apply_report(load, now)
     return view
 
 
 def test_the_fastest_agent_with_room_is_chosen_and_then_the_emptiest() -> None:
     view = fleet(1.0, {"a": 2000, "b": 9000, "c": 16000}, {"c": 300})
-    wish = Wish("s", Resources(1600, 64))
-    chosen = view.choose(wish, view.willing("s", 1.0))
+    request = PlacementRequest("s", Resources(1600, 64))
+    chosen = view.choose(request, view.eligible("s", 1.0))
     assert chosen is not None
     assert chosen.process == "b.1"
-    avoided = view.choose(wish._replace(avoid=frozenset({"b-x"})), view.willing("s", 1.0))
+    avoided = view.choose(request._replace(avoid=frozenset({"b-x"})), view.eligible("s", 1.0))
     assert avoided is not None
     assert avoided.process == "a.1"
-    assert view.choose(wish._replace(requires="z"), view.willing("s", 1.0)) is None
+    assert view.choose(request._replace(requires="z"), view.eligible("s", 1.0)) is None
 
 
 def test_room_assigned_since_the_last_report_is_not_given_away_again() -> None:
     view = fleet(1.0, {"a": 3000})
-    agent = view.of("a.1")
+    agent = view.get_or_add("a.1")
     agent.reserve(1, Resources(1600, 64))
-    assert view.choose(Wish("s", Resources(1600, 64)), view.willing("s", 1.0)) is None
-    agent.take_load(AgentLoad(2, 1, 3000, 999, 0, 100, 1, 1, 9000), 1.1)
-    assert view.choose(Wish("s", Resources(1600, 64)), view.willing("s", 1.1)) is agent
+    assert view.choose(PlacementRequest("s", Resources(1600, 64)), view.eligible("s", 1.0)) is None
+    agent.apply_report(AgentLoad(2, 1, 3000, 999, 0, 100, 1, 1, 9000), 1.1)
+    assert view.choose(PlacementRequest("s", Resources(1600, 64)), view.eligible("s", 1.1)) is agent
 
 
 def test_a_silent_agent_gets_nothing_and_is_over_only_after_every_lease() -> None:
     view = fleet(1.0, {"a": 3000})
-    assert view.willing("s", 1.2)
-    assert not view.willing("s", 1.4)
+    assert view.eligible("s", 1.2)
+    assert not view.eligible("s", 1.4)
     assert not view.is_over("a.1", 2.0)
     assert view.is_over("a.1", 2.2)
 
@@ -198,9 +198,9 @@
     assert 0 < len(decision.kept) < 10
     assert 0 < len(decision.late) < 20
     for each in decision.kept:
-        each.prospect = Prospect.TIMELY
+        each.timeliness = Timeliness.TIMELY
     for each in decision.late:
-        each.prospect = Prospect.LATE
+        each.timeliness = Timeliness.LATE
     again = admission.decide([*decision.kept, *decision.late], 0.1, due + 0.3)
     assert again == ([], [], [], [])
 
@@ -243,7 +243,7 @@
 
 def test_what_is_kept_is_given_up_once_its_answer_can_be_of_no_use() -> None:
     kept = job(1)
-    kept.prospect = Prospect.TIMELY
+    kept.timeliness = Timeliness.TIMELY
     assert Admission().decide([kept], 4.0, kept.last_useful_start - 0.01) == ([], [], [], [])
     assert Admission().decide([kept], 4.0, kept.last_useful_start + 0.01).given_up == [kept]
     kept.began = True
@@ -253,7 +253,7 @@
 def test_after_a_job_was_kept_in_vain_none_is_kept_to_be_late_for_a_while() -> None:
     admission = Admission()
     mistaken = job(1)
-    mistaken.prospect = Prospect.LATE
+    mistaken.timeliness = Timeliness.LATE
     at = mistaken.last_useful_start + 0.01
     assert admission.decide([mistaken], 40.0, at).given_up == [mistaken]
     ahead = job(2, tasks=10, estimate_ms=500, arrived=at)
@@ -270,7 +270,7 @@
 def test_late_work_that_delays_timely_jobs_stops_more_of_it() -> None:
     admission = Admission()
     late, timely = job(1), job(2)
-    late.prospect = Prospect.LATE
+    late.timeliness = Timeliness.LATE
     now = timely.latest_start + 0.01
     admission.begins(timely, now)
     ahead = job(3, tasks=10, estimate_ms=500)
@@ -294,7 +294,7 @@
 def test_late_jobs_go_last_also_with_the_tasks_that_they_have_left() -> None:
     begun, late, begun_late = job(1, estimate_ms=2000), job(2, estimate_ms=100), job(3)
     begun.began = begun_late.began = True
-    late.prospect = begun_late.prospect = Prospect.LATE
+    late.timeliness = begun_late.timeliness = Timeliness.LATE
     timely = job(4, estimate_ms=2000)
     jobs = [begun_late, late, timely, begun]
     assert sorted(jobs, key=urgency) == [begun, timely, begun_late, late]
@@ -309,7 +309,7 @@
 
 def test_a_round_of_placing_looks_at_the_same_number_of_agents_however_many_there_are() -> None:
     view = fleet(1.0, {f"a{number}": 4000 for number in range(3000)})
-    assert len(view.willing("s", 1.0)) == LOOKED_AT
+    assert len(view.eligible("s", 1.0)) == LOOKED_AT
     assert view.capacity_cpu("s", 1.0) == pytest.approx(3000 * 16.0)
     view.forget("a7.1")
     assert "a7.1" not in view.agents
@@ -319,26 +319,26 @@
 def test_announced_agents_count_as_capacity_until_they_are_heard_of_or_long_overdue() -> None:
     view = FleetView(0.55, Random(1))
     for node in ("w1", "w2"):
-        view.expect(node, "s", "fd1", 16000, 10.0)
-    view.expect("w3", "other", "fd1", 16000, 10.0)
+        view.expect_agent(node, "s", "fd1", 16000, 10.0)
+    view.expect_agent("w3", "other", "fd1", 16000, 10.0)
     assert view.capacity_cpu("s", 10.1) == 32.0
-    agent = view.of("w1.5")
+    agent = view.get_or_add("w1.5")
     agent.state = EndpointState("x", "s", "fd", 16000, 1000, 0, [], True)
-    agent.take_load(AgentLoad(1, 0, 100, 10, 0, 100, 1, 1, 9000), 10.2)
+    agent.apply_report(AgentLoad(1, 0, 100, 10, 0, 100, 1, 1, 9000), 10.2)
     assert view.capacity_cpu("s", 10.3) == 32.0
     assert view.capacity_cpu("other", 10.3) == 16.0
-    agent.take_load(AgentLoad(2, 0, 100, 10, 0, 100, 1, 1, 9000), 12.0)
+    agent.apply_report(AgentLoad(2, 0, 100, 10, 0, 100, 1, 1, 9000), 12.0)
     assert view.capacity_cpu("s", 12.1) == 16.0
 
 
 def test_a_leaving_agent_is_asked_only_for_what_can_end() -> None:
     view = FleetView(0.55, Random(1))
-    agent = view.of("w1.5")
+    agent = view.get_or_add("w1.5")
     agent.state = EndpointState("x", "s", "fd", 16000, 1000, 0, [], True)
-    agent.take_load(AgentLoad(1, 0, 16000, 1000, 0, 100, 1, 1, 400), 10.0)
-    wish = Wish("s", Resources(1600, 64), estimate_ms=400)
-    assert view.choose(wish, view.willing("s", 10.0)) is agent
-    assert view.choose(wish._replace(estimate_ms=401), view.willing("s", 10.0)) is None
+    agent.apply_report(AgentLoad(1, 0, 16000, 1000, 0, 100, 1, 1, 400), 10.0)
+    request = PlacementRequest("s", Resources(1600, 64), estimate_ms=400)
+    assert view.choose(request, view.eligible("s", 10.0)) is agent
+    assert view.choose(request._replace(estimate_ms=401), view.eligible("s", 10.0)) is None
 
 
 def test_jobs_that_fit_endpoints_about_to_connect_are_kept() -> None:
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -20,8 +20,8 @@
 
 
 def outcome(asked: object) -> JobOutcome | None:
-    verdict = asked.ticket.verdict  # type: ignore[attr-defined]
-    return None if verdict is None else verdict.outcome
+    result = asked.handle.result  # type: ignore[attr-defined]
+    return None if result is None else result.outcome
 
 
 def holder_of(world: World, task: str) -> str:
@@ -32,7 +32,7 @@
     raise AssertionError(f"{task} runs nowhere")
 
 
-def assert_kept(world: World) -> None:
+def assert_invariants_hold(world: World) -> None:
     assert world.breaches == []
     assert world.false_refusals() == []
 
@@ -53,7 +53,7 @@
     world.run(1.0)
     assert outcome(good) is JobOutcome.COMPLETED
     assert outcome(bad) is JobOutcome.FAILED
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_no_endpoint_gets_more_than_it_has_room_for() -> None:
@@ -61,7 +61,7 @@
     for number in range(60):
         world.submit(f"e{number % 3}", tasks=3, run_s=0.3)
     world.run(6.0)
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_a_job_that_cannot_be_in_time_is_refused_early_with_a_time_to_come_back() -> None:
@@ -70,22 +70,22 @@
     world.run(0.3)
     refused = [job for job in jobs if outcome(job) is JobOutcome.NOT_RUN]
     assert len(refused) >= 7
-    assert all(job.ticket.verdict.retry_after_s > 0 for job in refused if job.ticket.verdict)
-    quarter_s = jobs[0].ticket.job.objective_s / 4
+    assert all(job.handle.result.retry_after_s > 0 for job in refused if job.handle.result)
+    quarter_s = jobs[0].handle.job.objective_s / 4
     assert max(job.ended_at - job.at for job in refused) < quarter_s
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 @pytest.mark.parametrize("late", [False, True])
 def test_a_start_without_an_answer_is_never_run_twice(late: bool) -> None:
     world = ready_world()
     for machine in world.machines.values():
-        machine.endpoint.late_orders = 2 if late else 0
-        machine.endpoint.lose_answers = 0 if late else 2
+        machine.endpoint.delayed_starts = 2 if late else 0
+        machine.endpoint.unanswered_calls = 0 if late else 2
     jobs = [world.submit("e0", tasks=4, run_s=0.4) for _ in range(4)]
     world.run(6.0)
     assert [outcome(job) for job in jobs] == [JobOutcome.COMPLETED] * 4
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_a_killed_agent_loses_no_job_and_runs_none_twice() -> None:
@@ -98,7 +98,7 @@
     world.start_agent(name)
     world.run(4.0)
     assert outcome(job) is JobOutcome.COMPLETED
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_a_dark_machine_is_given_up_only_when_its_leases_are_over() -> None:
@@ -110,7 +110,7 @@
         world.cut_apart(name, entry, 10.0)
     world.run(4.5)
     assert outcome(job) is JobOutcome.COMPLETED
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 @pytest.mark.parametrize("seconds", [0.3, 0.6, 1.0, 2.5])
@@ -123,7 +123,7 @@
     later = [world.submit("e0", tasks=4, run_s=0.7) for _ in range(3)]
     world.run(6.0)
     assert all(outcome(job) is not None for job in jobs + later)
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_a_killed_entry_leaves_nothing_running_when_its_callers_send_again() -> None:
@@ -135,7 +135,7 @@
     again = world.submit("e1", tasks=6, run_s=2.5, job_id=job.spec.job_id)
     world.run(4.5)
     assert outcome(again) is JobOutcome.COMPLETED
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_a_frozen_entry_wakes_to_a_job_that_runs_elsewhere_and_does_not_run_it_again() -> None:
@@ -146,7 +146,7 @@
     world.run(3.6)
     world.submit("e1", tasks=6, run_s=1.0, job_id=job.spec.job_id)
     world.run(4.0)
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_an_entry_cut_from_an_agent_and_back_keeps_what_runs_there() -> None:
@@ -158,7 +158,7 @@
     world.run(1.5)
     assert outcome(job) is JobOutcome.COMPLETED
     assert world.starts == 3
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_an_endpoint_that_fails_everything_gets_little_work() -> None:
@@ -172,7 +172,7 @@
     completed = sum(outcome(job) is JobOutcome.COMPLETED for job in jobs)
     assert completed >= 97
     assert world.wasted_runs < 25
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_runs_that_stand_still_are_moved_and_their_endpoint_is_left_out() -> None:
@@ -187,7 +187,7 @@
     assert world.wasted_runs <= 5
     assert world.machines["w0"].agent is not None
     assert world.machines["w0"].agent.health.ejections >= 1
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_a_draining_endpoint_gets_nothing_new() -> None:
@@ -212,7 +212,7 @@
     jobs = [world.submit("e0", tasks=4, run_s=0.2) for _ in range(3)]
     world.run(5.0)
     assert all(outcome(job) is not None for job in jobs)
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_a_restarted_agent_stops_what_it_finds_before_it_starts_anything() -> None:
@@ -224,7 +224,7 @@
     job = world.submit("e0", tasks=10, run_s=0.2, time_limit_s=9.0)
     world.run(8.0)
     assert outcome(job) is not None
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 @pytest.mark.parametrize("seed", [*range(30), 343])
@@ -232,7 +232,7 @@
     world = ready_world(agents=5, entries=3, seed=seed)
     rng = Random(seed)
     for _ in range(60):
-        _disturb(world, rng)
+        _inject_fault(world, rng)
         for _ in range(rng.randrange(4)):
             entry = rng.choice(sorted(world.entries))
             world.submit(
@@ -243,16 +243,16 @@
             )
         world.run(rng.uniform(0.01, 0.3))
     world.run(9.0)
-    assert_kept(world)
+    assert_invariants_hold(world)
     assert all(outcome(job) is not None for job in world.asked if _entry_lives(world, job))
 
 
 def _entry_lives(world: World, job: object) -> bool:
-    tickets = [node.entry.jobs.values() for node in world.entries.values() if node.entry]
-    return any(job.ticket in each for each in tickets)  # type: ignore[attr-defined]
+    handles = [node.entry.jobs.values() for node in world.entries.values() if node.entry]
+    return any(job.handle in each for each in handles)  # type: ignore[attr-defined]
 
 
-def _disturb(world: World, rng: Random) -> None:
+def _inject_fault(world: World, rng: Random) -> None:
     machine = world.machines[rng.choice(sorted(world.machines))]
     entry = rng.choice(sorted(world.entries))
     endpoint = machine.endpoint
@@ -274,9 +274,9 @@
     elif what == 5:
         world.reset(machine.name, entry)
     elif what == 6:
-        endpoint.lose_answers = rng.randrange(4)
+        endpoint.unanswered_calls = rng.randrange(4)
     elif what == 7:
-        endpoint.late_orders = rng.randrange(3)
+        endpoint.delayed_starts = rng.randrange(3)
     elif what == 8:
         endpoint.failing = not endpoint.failing
     elif what == 9:
@@ -304,8 +304,8 @@
 
 
 def _open_jobs(world: World, entry: str) -> list[Asked]:
-    tickets = list(world.entries[entry].entry.jobs.values())  # type: ignore[union-attr]
-    return [job for job in world.asked if job.ticket in tickets]
+    handles = list(world.entries[entry].entry.jobs.values())  # type: ignore[union-attr]
+    return [job for job in world.asked if job.handle in handles]
 
 
 def _break_callers(world: World, rng: Random, entry: str, machine: str) -> None:
@@ -316,7 +316,7 @@
         _send_again(world, rng, job)
         if rng.random() < 0.5:
             world.reset(machine, entry)
-        world.entries[entry].entry.abandon(job.ticket, "reset")  # type: ignore[union-attr]
+        world.entries[entry].entry.abandon(job.handle, "reset")  # type: ignore[union-attr]
 
 
 def _send_again(world: World, rng: Random, job: Asked) -> None:
@@ -330,7 +330,7 @@
 def test_the_objective_is_the_stretched_work_and_the_allowance() -> None:
     world = ready_world()
     job = world.submit("e0", tasks=2, run_s=0.5)
-    assert job.ticket.job.objective_s == pytest.approx(0.5 * QUEUE.stretch + 0.06)
+    assert job.handle.job.objective_s == pytest.approx(0.5 * QUEUE.stretch + 0.06)
 
 
 def test_lost_answers_to_looks_cost_no_run() -> None:
@@ -345,7 +345,7 @@
     assert all(outcome(job) is JobOutcome.COMPLETED for job in jobs)
     assert world.wasted_runs == 0
     assert sorted(job.ended_at - job.at for job in jobs)[-4] < 0.8
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_an_endpoint_that_answers_nothing_is_given_up_when_its_leases_are_over() -> None:
@@ -356,7 +356,7 @@
     world.machines[name].endpoint.lose_looks = 1.0
     world.run(4.6)
     assert outcome(job) is JobOutcome.COMPLETED
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_a_leaving_entry_takes_only_what_can_end_in_time() -> None:
@@ -397,11 +397,11 @@
 def test_a_start_without_an_answer_is_settled_within_a_few_round_trips() -> None:
     world = ready_world(agents=2)
     for machine in world.machines.values():
-        machine.endpoint.late_orders = 1
+        machine.endpoint.delayed_starts = 1
     job = world.submit("e0", tasks=4, run_s=0.2)
     world.run(0.3)
     assert outcome(job) is JobOutcome.COMPLETED
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_nothing_is_placed_past_its_deadline() -> None:
@@ -417,9 +417,9 @@
     for view in world.entries["e0"].view.agents.values():  # type: ignore[union-attr]
         view._pending.clear()
         view.offer(ENDPOINT_ROOM)
-        view.heard_at = world.time
+        view.last_heard_at = world.time
     entry._placer.place()
-    assert not late.ticket.job.began
+    assert not late.handle.job.began
 
 
 def test_a_look_at_an_earlier_life_says_nothing_of_the_present_one() -> None:
@@ -438,7 +438,7 @@
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(agent._ctx.driver, "hold", hold)
-        agent.look()
+        agent.poll()
     assert agent.table.acknowledged == 0
     job = world.submit("e0", tasks=4, run_s=0.2)
     world.run(1.0)
@@ -453,7 +453,7 @@
     agent = world.machines["w0"].agent
     assert agent is not None
     task = LeasedTask(f"{first.spec.job_id}.0.0.0", 5, 0, 1600, 64, 0, 3000)
-    echo = world.entries["e1"].view.of(world.process_of("w0")).newest_load  # type: ignore[union-attr]
+    echo = world.entries["e1"].view.get_or_add(world.process_of("w0")).newest_load  # type: ignore[union-attr]
     agent.on_message(Assign(echo, 1, [task], [], [pack("x")]), world.process_of("e1"))
     agent.on_message(Withdraw([RunRef(task.name, 5)]), world.process_of("e1"))
     world.run(1.0)
@@ -469,12 +469,12 @@
         world.reset(name, "e0")
     entry = world.entries["e0"].entry
     assert entry is not None
-    entry.abandon(job.ticket, "the caller's connection was reset as well")
+    entry.abandon(job.handle, "the caller's connection was reset as well")
     world.run(1.3)
     again = world.submit("e1", tasks=3, run_s=4.0, job_id=job.spec.job_id, time_limit_s=9.0)
     world.run(5.0)
     assert outcome(again) is JobOutcome.COMPLETED
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 @pytest.mark.parametrize("restarted", [False, True])
@@ -495,7 +495,7 @@
     world.run(3.0)
     assert [outcome(job) for job in jobs] == [JobOutcome.COMPLETED] * 3
     assert world.starts == 27
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_connections_that_go_silent_for_good_cost_no_run() -> None:
@@ -507,7 +507,7 @@
     assert [outcome(job) for job in jobs] == [JobOutcome.COMPLETED] * 6
     assert max(job.ended_at - job.at for job in jobs) < 1.4
     assert world.wasted_runs == 0
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_an_entry_that_is_gone_no_longer_counts_when_the_pool_is_shared() -> None:
@@ -533,10 +533,10 @@
         world.run(rng.expovariate(25.0))
     world.run(9.0)
     done = [job for job in world.asked if outcome(job) is JobOutcome.COMPLETED]
-    in_time = [job for job in done if job.ended_at - job.at <= job.ticket.job.objective_s]
+    in_time = [job for job in done if job.ended_at - job.at <= job.handle.job.objective_s]
     assert len(in_time) > 0.85 * len(world.asked)
     assert world.wasted_runs == 0
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_an_agent_frozen_before_it_starts_what_it_took_on_starts_nothing_when_it_wakes() -> None:
@@ -552,7 +552,7 @@
     world.freeze(world.process_of(takers[0]), 1.6)
     world.run(4.0)
     assert outcome(job) is JobOutcome.COMPLETED
-    assert_kept(world)
+    assert_invariants_hold(world)
     assert world.starts == 2
 
 
@@ -572,7 +572,7 @@
     world.run(3.0)
     # The last of them are late, since heartbeats come every half second here.
     assert [outcome(job) for job in jobs] == [JobOutcome.COMPLETED] * 12
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_a_configuration_reaches_an_entry_that_the_store_turns_away() -> None:
@@ -580,12 +580,12 @@
     feeds = [node.entry._ctx.feed for node in world.entries.values() if node.entry]
     assert [feed.version for feed in feeds] == [1, 1, 1]
     world.config = world.config._replace(version=7, raw=b"7")
-    feeds[1].offered(b"7", "store")
+    feeds[1].apply_if_newer(b"7", "store")
     world.run(0.5)
     assert [feed.version for feed in feeds] == [7, 7, 7]
     world.kill(world.process_of("e2"))
     world.config = world.config._replace(version=9, raw=b"9")
-    feeds[0].offered(b"9", "store")
+    feeds[0].apply_if_newer(b"9", "store")
     world.run(0.4)
     world.start_entry("e2")
     restarted = world.entries["e2"].entry
@@ -600,20 +600,20 @@
     world = ready_world()
     entry = world.entries["e0"].entry
     assert entry is not None
-    entry.begin_leaving(world.time + 5.0)
+    entry.begin_shutdown(world.time + 5.0)
     first = world.submit("e0", tasks=1, run_s=0.05)
     world.run(0.1)
     assert outcome(first) is JobOutcome.COMPLETED
-    assert not entry.has_left()
+    assert not entry.is_drained()
     world.run(0.05)
     last = world.submit("e0", tasks=1, run_s=0.05)
     assert entry.takes(last.spec)
-    assert not entry.has_left()
+    assert not entry.is_drained()
     world.run(0.1)
     assert outcome(last) is JobOutcome.COMPLETED
-    assert not entry.has_left()
+    assert not entry.is_drained()
     world.run(0.11)
-    assert entry.has_left()
+    assert entry.is_drained()
     assert not entry.takes(last.spec)
 
 
@@ -631,7 +631,7 @@
     world.config = world.config._replace(version=7, raw=raw)
     for node in world.entries.values():
         assert node.entry is not None
-        node.entry._ctx.feed.offered(raw, "store")
+        node.entry._ctx.feed.apply_if_newer(raw, "store")
     jobs = []
     for _ in range(30):
         jobs += [world.submit(name, tasks=4, run_s=0.3) for name in world.entries]
@@ -640,7 +640,7 @@
     assert [outcome(job) for job in jobs] == [JobOutcome.COMPLETED] * len(jobs)
     assert world.starts == 4 * len(jobs)
     assert {m.agent._ctx.feed.version for m in world.machines.values() if m.agent} == {7}
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_a_peer_that_has_a_configuration_is_never_sent_it() -> None:
@@ -651,7 +651,7 @@
     world.config = world.config._replace(version=7, raw=raw)
     feeds = [node.entry._ctx.feed for node in world.entries.values() if node.entry]
     for feed in feeds:
-        feed.offered(raw, "store")
+        feed.apply_if_newer(raw, "store")
     world.run(4.0)
     once = sum(world.bytes_sent.values())
     # Incompressible: the four agents take it in once each, 400 KB, beside echoes.
@@ -676,7 +676,7 @@
     assert all(outcome(job) is JobOutcome.COMPLETED for job in world.asked)
     assert world.starts == len(world.asked)
     assert _refused(world) == refused_before
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def _refused(world: World) -> int:
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -17,7 +17,7 @@
 from gentianmux.leased.resources import Resources
 from gentianmux.platform.callers import read_job
 from gentianmux.platform.config import decode_config
-from gentianmux.platform.endpoint import PlatformEndpoint, _read_look, read_report
+from gentianmux.platform.endpoint import PlatformEndpoint, _read_look, decode_heartbeat
 from gentianmux.platform.settings import decode_settings, read_settings_file
 from gentianmux.platform.store import PlatformStore
 from standins.platform_endpoint import PlatformEndpointApp
@@ -60,7 +60,7 @@
 
 
 def report_of(endpoint: str = "i-1"):
-    return read_report(endpoint, REPORT, "10.0.0.1:80")
+    return decode_heartbeat(endpoint, REPORT, "10.0.0.1:80")
 
 
 # Settings and configuration
@@ -125,7 +125,9 @@
 
 
 def test_a_heartbeat_is_decoded() -> None:
-    report = read_report("i-1", {**REPORT, "state": "draining", "drain_remaining_ms": 1500}, "")
+    report = decode_heartbeat(
+        "i-1", {**REPORT, "state": "draining", "drain_remaining_ms": 1500}, ""
+    )
     assert report.draining
     assert report.drain_remaining_s == 1.5
     assert report.capacity == Resources(16000, 100, 0)
@@ -180,7 +182,7 @@
 
 def test_an_unanswered_write_may_have_been_done_and_may_be_done_again() -> None:
     app = PlatformStoreApp()
-    app.lose_answers = 1
+    app.unanswered_calls = 1
     with served(app) as address:
         store = PlatformStore(address)
         with pytest.raises(LogError):
@@ -234,7 +236,7 @@
 
 def test_a_stop_also_keeps_a_start_on_its_way_from_running() -> None:
     app = PlatformEndpointApp("i-1")
-    app.late_orders = 1
+    app.delayed_starts = 1
     app.late_s = 0.1
     with served(app) as address:
         driver = PlatformEndpoint(address, 0.05)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -11,14 +11,14 @@
 from bench.world import SETTINGS, World
 from gentianmux.codes import ResultCode
 from gentianmux.config_state import Change, ConfigState
-from gentianmux.endpoint_client import Run
+from gentianmux.endpoint_client import TaskOutcome
 from gentianmux.errors import GentianmuxError
 from gentianmux.fair_queue import FairQueue
 from gentianmux.limits import MemberLimits
 from gentianmux.member_claims import SETTLE_S, Claims, split_claim
 from gentianmux.messages import Task
 from gentianmux.platform_log import Record
-from gentianmux.routing import Candidate, choose, reserve_at
+from gentianmux.routing import Candidate, choose_agents, choose_reservations
 from gentianmux.settings import Settings
 
 WORKERS = {f"worker/a{n}": {"failure_domain": "f", "slots": 8} for n in range(4)}
@@ -43,22 +43,22 @@
     state = ConfigState()
     put(state, 0, {**WORKERS, "member/m": {"claim": 0.5}})
     claims = Claims(state)
-    assert claims.part("m", "a0", 0.0) == 4
+    assert claims.slot_limit("m", "a0", 0.0) == 4
     put(state, 1, {"member/m": {"claim": 0.75}})
-    assert claims.part("m", "a0", 1.0) == 4
-    assert claims.part("m", "a0", 1.0 + SETTLE_S) == 6
-    assert claims.part("other", "a0", 1.0) is None
+    assert claims.slot_limit("m", "a0", 1.0) == 4
+    assert claims.slot_limit("m", "a0", 1.0 + SETTLE_S) == 6
+    assert claims.slot_limit("other", "a0", 1.0) is None
 
 
 def test_a_member_takes_at_most_half_of_an_entry() -> None:
     limits = MemberLimits(Settings(max_inflight=10), ConfigState(), Random(1))
     for _ in range(5):
-        limits.enter("greedy", 0.0, 1)
+        limits.acquire("greedy", 0.0, 1)
     with pytest.raises(GentianmuxError) as caught:
-        limits.enter("greedy", 0.0, 1)
+        limits.acquire("greedy", 0.0, 1)
     assert caught.value.code is ResultCode.QUEUE_FULL
     assert caught.value.retry_after_ms > 0
-    limits.enter("modest", 0.0, 1)
+    limits.acquire("modest", 0.0, 1)
 
 
 def test_a_rate_is_split_over_the_entries() -> None:
@@ -68,11 +68,11 @@
     taken = 0
     for tick in range(1000):
         try:
-            limits.enter("m", tick / 100, entries=2)
+            limits.acquire("m", tick / 100, entries=2)
         except GentianmuxError as exc:
             assert exc.code is ResultCode.RATE_LIMITED
         else:
-            limits.leave("m")
+            limits.release("m")
             taken += 1
     assert 100 <= taken <= 111
 
@@ -90,10 +90,10 @@
 @given(st.integers(0, 40), st.integers(1, 30), st.integers(0, 40))
 def test_no_agent_is_filled_beyond_its_slots(count: int, agents: int, load: int) -> None:
     found = [Candidate(f"w{n}", 8, True, min(load, n)) for n in range(agents)]
-    chosen = Counter(choose(count, found, Random(1)))
+    chosen = Counter(choose_agents(count, found, Random(1)))
     assert sum(chosen.values()) <= count
     assert all(each.load + chosen[each.process] <= max(8, each.load) for each in found)
-    reserved = reserve_at(count, 0, found, Random(1))
+    reserved = choose_reservations(count, 0, found, Random(1))
     assert sum(reserved.values()) <= max(3, count)
 
 
@@ -109,9 +109,9 @@
 def _fail_everything(world: World, name: str) -> None:
     node = world.node(name)
     assert node is not None
-    executor, ended = node.ctx.executor, node.ctx.executor.on_ended
-    failed = Run(ResultCode.TASK_FAILED, "")
-    executor.on_ended = lambda job, record, run: ended(job, record, failed)  # type: ignore
+    executor, ended = node.ctx.executor, node.ctx.executor.on_task_ended
+    failed = TaskOutcome(ResultCode.TASK_FAILED, "")
+    executor.on_task_ended = lambda job, record, run: ended(job, record, failed)  # type: ignore
 
 
 def _failures(eject: bool, monkeypatch: pytest.MonkeyPatch) -> float:
