--- a/src/gentianmux/__init__.py
+++ b/src/gentianmux/__init__.py
@@ -1,3 +1,3 @@
-"""A dispatcher for sub-second tasks that a federation of organisations shares."""
+"""Dispatcher for sub-second tasks, shared by a federation of organisations."""
 
 __version__ = "0.1.0"
--- a/src/gentianmux/__main__.py
+++ b/src/gentianmux/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the daemon by ``python -m gentianmux``."""
+"""Entry point of ``python -m gentianmux``, which runs the daemon."""
 
 from .daemon import main
 
--- a/src/gentianmux/budget.py
+++ b/src/gentianmux/budget.py
@@ -1,36 +1,36 @@
-"""A budget on repeated work, as a share of the work that was asked for."""
+"""Retry budget as a ratio of first attempts."""
 
 
 class RetryBudget:
-    """Allows repeats up to a percentage of first tries.
+    """Allows retries up to a percentage of requests.
 
     Parameters
     ----------
     percent : int
-        Repeats allowed for a hundred first tries.
+        Retries allowed per hundred requests.
     burst : float
-        Repeats that may be saved up.
+        Maximum number of unused retries that accumulate.
 
     Examples
     --------
     >>> budget = RetryBudget(percent=50)
-    >>> for _ in range(4): budget.first_try()
-    >>> [budget.may_repeat() for _ in range(3)]
+    >>> for _ in range(4): budget.record_request()
+    >>> [budget.try_retry() for _ in range(3)]
     [True, True, False]
     """
 
     def __init__(self, percent: int, burst: float = 10.0) -> None:
-        self._share = percent / 100
+        self._retry_ratio = percent / 100
         self._burst = burst
-        self._saved = 0.0
+        self._tokens = 0.0
 
-    def first_try(self) -> None:
-        """Note work that was asked for."""
-        self._saved = min(self._burst, self._saved + self._share)
+    def record_request(self) -> None:
+        """Add a first attempt to the budget."""
+        self._tokens = min(self._burst, self._tokens + self._retry_ratio)
 
-    def may_repeat(self) -> bool:
-        """Take one repeat out of the budget, if it holds one."""
-        if self._saved < 1.0:
+    def try_retry(self) -> bool:
+        """Consume one retry; false if the budget is exhausted."""
+        if self._tokens < 1.0:
             return False
-        self._saved -= 1.0
+        self._tokens -= 1.0
         return True
--- a/src/gentianmux/caller_api.py
+++ b/src/gentianmux/caller_api.py
@@ -1,4 +1,4 @@
-"""The HTTP interface for callers and operators at an entry."""
+"""HTTP interface for callers and operators."""
 
 import hashlib
 import json
@@ -9,15 +9,15 @@
 from loguru import logger
 
 from .codes import ResultCode
-from .coordinator import REQUEST_MARK
+from .coordinator import REQUEST_PREFIX
 from .dispatcher import Reply
 from .errors import GentianmuxError
 from .http_server import read_body
-from .ids import NO_TIME, check_id, job_key, new_id
+from .ids import NO_TIME, job_key, new_id, validate_id
 from .limits import MemberLimits
 from .messages import Submit
 from .node_context import NodeContext
-from .submission import Submission, digest_of, read_job, read_request
+from .submission import Submission, read_job, read_request, submission_digest
 
 StartResponse = Callable[..., Any]
 MAX_WAIT_S = 300.0
@@ -44,7 +44,7 @@
 
 
 class Response(NamedTuple):
-    """An HTTP response before it is written."""
+    """HTTP response: status, JSON body and suggested retry delay in ms."""
 
     status: int
     body: bytes
@@ -52,12 +52,12 @@
 
 
 class CallerApi:
-    """A WSGI application over the dispatcher.
+    """WSGI application for callers and operators; agents serve only the operators' paths.
 
     Parameters
     ----------
     ctx : NodeContext
-        The blackboard.
+        Shared context.
     """
 
     def __init__(self, ctx: NodeContext) -> None:
@@ -80,10 +80,12 @@
         try:
             response = self._route(environ)
         except GentianmuxError as exc:
-            response = refusal(Reply(exc.code, exc.detail, retry_after_ms=exc.retry_after_ms))
+            response = error_response(
+                Reply(exc.code, exc.detail, retry_after_ms=exc.retry_after_ms)
+            )
         except Exception:
             logger.bind(code=int(ResultCode.INTERNAL)).exception("request failed")
-            response = refusal(Reply(ResultCode.INTERNAL))
+            response = error_response(Reply(ResultCode.INTERNAL))
         return _write(response, start_response)
 
     def _route(self, environ: dict[str, Any]) -> Response:
@@ -107,20 +109,20 @@
 
     def _submit_job(self, environ: dict[str, Any], _rest: str) -> Response:
         member = self._authenticate(environ)
-        wait_s = _wait_of(environ, 0.0)
+        wait_s = _preferred_wait_s(environ, 0.0)
         body = read_body(environ, self._ctx.cfg)
         submission = read_job(body, self._ctx.now_ms())
         return self._submit(member, submission, body, wait_s)
 
     def _submit_request(self, environ: dict[str, Any], _rest: str) -> Response:
         member = self._authenticate(environ)
-        wait_s = _wait_of(environ, REQUEST_WAIT_S)
+        wait_s = _preferred_wait_s(environ, REQUEST_WAIT_S)
         body = read_body(environ, self._ctx.cfg)
         now_ms = self._ctx.now_ms()
         key = environ.get("HTTP_IDEMPOTENCY_KEY")
-        job_id = new_id(now_ms, self._ctx.rng.getrandbits(74)) if key is None else check_id(key)
+        job_id = new_id(now_ms, self._ctx.rng.getrandbits(74)) if key is None else validate_id(key)
         submission = read_request(body, job_id, now_ms)
-        return self._submit(member, submission, REQUEST_MARK + body, wait_s)
+        return self._submit(member, submission, REQUEST_PREFIX + body, wait_s)
 
     def _submit(self, member: str, submission: Submission, body: bytes, wait_s: float) -> Response:
         ctx = self._ctx
@@ -131,7 +133,7 @@
             member,
             submission.service,
             body,
-            digest_of(submission),
+            submission_digest(submission),
             submission.submitted_ms,
             submission.deadline_ms,
             submission.idempotent,
@@ -165,14 +167,14 @@
 
     def _get_job(self, environ: dict[str, Any], rest: str) -> Response:
         member = self._authenticate(environ)
-        wait_s = _wait_of(environ, 0.0)
-        job_id = check_id(rest)
+        wait_s = _preferred_wait_s(environ, 0.0)
+        job_id = validate_id(rest)
         reply = self._ctx.dispatcher.query(job_key(member, job_id), wait_s)
         return _to_response(reply, job_id)
 
     def _cancel_job(self, environ: dict[str, Any], rest: str) -> Response:
         member = self._authenticate(environ)
-        job_id = check_id(rest)
+        job_id = validate_id(rest)
         reply = self._ctx.dispatcher.cancel(job_key(member, job_id))
         return _to_response(reply, job_id)
 
@@ -209,11 +211,11 @@
 
     def _explain(self, environ: dict[str, Any], rest: str) -> Response:
         member = self._authenticate(environ)
-        job_id = check_id(rest)
+        job_id = validate_id(rest)
         return _to_response(self._ctx.dispatcher.explain(job_key(member, job_id)), job_id)
 
 
-def _wait_of(environ: dict[str, Any], default: float) -> float:
+def _preferred_wait_s(environ: dict[str, Any], default: float) -> float:
     for part in environ.get("HTTP_PREFER", "").split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "wait":
@@ -229,11 +231,11 @@
     if reply.code is ResultCode.ACCEPTED:
         content = {"id": job_id, "code": int(reply.code), "name": reply.code.label}
         return _json(202, content)
-    return refusal(reply, job_id)
+    return error_response(reply, job_id)
 
 
-def refusal(reply: Reply, job_id: str | None = None) -> Response:
-    """A refusal in its JSON form: code, name, whether it ran, and when to come back."""
+def error_response(reply: Reply, job_id: str | None = None) -> Response:
+    """Build the JSON response for an error: code, name, whether it ran, and detail."""
     info = reply.code.info
     content: dict[str, Any] = {
         "code": int(reply.code),
--- a/src/gentianmux/clock.py
+++ b/src/gentianmux/clock.py
@@ -1,4 +1,4 @@
-"""Time and deferred calls, in one place so that tests can bring their own."""
+"""Clocks and deferred calls, replaceable in tests."""
 
 from collections.abc import Callable
 from time import monotonic, time
@@ -9,13 +9,12 @@
 
 from .codes import ResultCode
 
-AFTER_FAILURE_S = 0.05
-"""Seconds after a repeated call that failed: without a pause of its own it would fail, and log,
-thousands of times a second."""
+# Limits the rate of failures and log lines when the period is 0.
+FAILURE_DELAY_S = 0.05
 
 
 class Clock:
-    """The clocks of this process, and calls that run later on its event loop.
+    """Clocks of this process and deferred calls on its event loop.
 
     Examples
     --------
@@ -33,19 +32,19 @@
         return int(time() * 1000)
 
     def call_later(self, delay_s: float, call: Callable[..., Any], *args: Any) -> None:
-        """Call once after a delay in seconds."""
+        """Schedule one call after a delay in seconds."""
         gevent.spawn_later(delay_s, call, *args)
 
     def call_soon(self, call: Callable[..., Any], *args: Any) -> None:
-        """Call once, outside the present call; it may block."""
+        """Schedule one call in a new greenlet; it may block."""
         gevent.spawn(call, *args)
 
 
 def run_periodically(period_s: float, call: Callable[[], None]) -> None:
-    """Call for ever, with a pause in seconds before each call.
+    """Call forever, sleeping ``period_s`` seconds before each call.
 
-    A call that fails is logged and the next one made: a process whose deadlines, leases or reports
-    have silently stopped is worse than one that has ended.
+    Exceptions are logged and do not end the loop, since a process without its deadlines, leases
+    or reports is worse than one that has exited.
     """
     while True:
         gevent.sleep(period_s)
@@ -53,4 +52,4 @@
             call()
         except Exception:
             logger.bind(code=int(ResultCode.INTERNAL)).exception("a repeated step failed")
-            gevent.sleep(AFTER_FAILURE_S)
+            gevent.sleep(FAILURE_DELAY_S)
--- a/src/gentianmux/codec.py
+++ b/src/gentianmux/codec.py
@@ -1,4 +1,4 @@
-"""Encodes typed messages as Cap'n Proto and decodes them again."""
+"""Cap'n Proto encoding and decoding of messages."""
 
 from collections.abc import Callable
 from functools import cache
@@ -39,7 +39,7 @@
 
 
 @cache
-def _plan(cls: type) -> list[_Field]:
+def _fields_of(cls: type) -> list[_Field]:
     fields = []
     handles = getattr(_schema, cls.__name__).schema.fields
     for name, hint in get_type_hints(cls).items():
@@ -63,17 +63,17 @@
     Parameters
     ----------
     msg : Message
-        Any of the message types.
+        Message to encode.
 
     Returns
     -------
     bytes
-        The Cap'n Proto form, without the length that goes before it.
+        Encoded message, without the length prefix of the frame.
 
     Raises
     ------
     FrameError
-        ``FRAME_TOO_LONG`` when the encoded form is over ``MAX_FRAME_BYTES``.
+        ``FRAME_TOO_LONG`` if the encoded message exceeds ``MAX_FRAME_BYTES``.
     """
     cls = type(msg)
     envelope = _envelope.new_message()
@@ -84,10 +84,10 @@
     return data
 
 
-# Fields are set one by one: building a message from a dict crashes the process when greenlets
-# take turns (pycapnp 2.2.4), and takes ten times as long.
+# Fields are set one by one, since building a message from a dict is slow and crashes the process
+# when greenlets switch (pycapnp 2.2.4).
 def _fill(builder: Any, cls: type, msg: Any) -> None:
-    for field, value in zip(_plan(cls), msg, strict=True):
+    for field, value in zip(_fields_of(cls), msg, strict=True):
         if field.is_list and field.item is not None:
             items = builder.init(field.wire_name, len(value))
             for number, item in enumerate(value):
@@ -106,7 +106,7 @@
     Raises
     ------
     FrameError
-        ``BAD_FRAME`` when the bytes are no message of this protocol.
+        ``BAD_FRAME`` if the bytes are not a valid message.
     """
     if not data or len(data) % _WORD_BYTES:
         raise FrameError(ResultCode.BAD_FRAME, f"{len(data)} bytes are no message")
@@ -122,7 +122,7 @@
 
 def _from_reader(cls: type, reader: Any) -> Any:
     values = []
-    for field in _plan(cls):
+    for field in _fields_of(cls):
         value = reader._get_by_field(field.handle)
         if field.is_list:
             item = field.item
--- a/src/gentianmux/codes.py
+++ b/src/gentianmux/codes.py
@@ -1,11 +1,11 @@
-"""The numbered result codes that every answer, frame and log event carries."""
+"""Numbered result codes of answers, frames and log events."""
 
 from enum import Enum, IntEnum
 from typing import NamedTuple
 
 
 class Ran(Enum):
-    """Whether the work named in a refusal ran."""
+    """Whether the refused or failed work ran."""
 
     NO = "no"
     YES = "yes"
@@ -13,7 +13,7 @@
 
 
 class CodeInfo(NamedTuple):
-    """What a caller may conclude from a code."""
+    """HTTP status, whether the work ran, and meaning of a code."""
 
     http_status: int
     ran: Ran
@@ -21,7 +21,7 @@
 
 
 class ResultCode(IntEnum):
-    """Numbered outcomes; the table in ``docs/result-codes.md`` is made from this module.
+    """Numbered outcomes; the table in ``docs/result-codes.md`` is generated from this module.
 
     Examples
     --------
@@ -96,12 +96,12 @@
 
     @property
     def info(self) -> CodeInfo:
-        """HTTP status, whether the work ran, and the meaning."""
+        """HTTP status, whether the work ran, and meaning."""
         return _INFO[self]
 
     @property
     def label(self) -> str:
-        """Lower-case name as it stands in answers, such as ``queue_full``."""
+        """Lower-case name used in answers, such as ``queue_full``."""
         return self.name.lower()
 
 
--- a/src/gentianmux/conn.py
+++ b/src/gentianmux/conn.py
@@ -1,4 +1,4 @@
-"""One framed connection between two gentianmux processes."""
+"""Outgoing side of a framed connection between two gentianmux processes."""
 
 import os
 import socket
@@ -13,14 +13,14 @@
 
 
 class Conn:
-    """One connection to a peer; what is sent before it opens waits in its outbox.
+    """Connection to a peer; frames sent before it opens are queued in its outbox.
 
     Attributes
     ----------
     opened : bool
-        Whether the peer proved to be the process that was meant; nothing leaves before.
+        Whether the peer's hello named the expected process; nothing is sent before.
     refused : bool
-        Whether the host answered that nothing listens there, or that another process does.
+        Whether the host refused the connection, or another process answered.
     """
 
     def __init__(self, process: str, address: str) -> None:
@@ -34,18 +34,18 @@
         self._outbox_bytes = 0
         self._wake = Event()
         self._writing = False
-        self._plain: Any = None
+        self._nonblocking_sock: Any = None
 
     def open(self) -> None:
-        """Begin to send what is put."""
-        # A second object on the same descriptor, whose send never waits.
-        self._plain = socket.socket(fileno=os.dup(self.sock.fileno()))
-        self._plain.setblocking(False)
+        """Start sending queued frames."""
+        # A second socket object on a duplicate descriptor, for sends that never block.
+        self._nonblocking_sock = socket.socket(fileno=os.dup(self.sock.fileno()))
+        self._nonblocking_sock.setblocking(False)
         self.opened = True
         self._wake.set()
 
     def enqueue(self, frame: bytes) -> bool:
-        """Queue a frame; false when the connection is closed or its outbox is full."""
+        """Queue a frame; false if the connection is closed or its outbox is full."""
         if self.closed or self._outbox_bytes + len(frame) > MAX_OUTBOX_BYTES:
             return False
         if self.opened and not self._outbox and not self._writing:
@@ -58,7 +58,7 @@
         return True
 
     def write_loop(self) -> None:
-        """Send what is in the outbox for as long as the connection is open."""
+        """Send queued frames until the connection closes."""
         while not self.closed:
             self._wake.wait()
             self._wake.clear()
@@ -69,24 +69,24 @@
                 self._writing = False
 
     def _send_now(self, frame: bytes) -> int:
-        """Hand as much to the kernel as it takes at once, without a turn of the event loop."""
+        """Send what the kernel accepts without blocking, and return the number of bytes."""
         try:
-            return int(self._plain.send(frame, socket.MSG_DONTWAIT))
+            return int(self._nonblocking_sock.send(frame, socket.MSG_DONTWAIT))
         except OSError:
             return 0
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection and drop queued frames."""
         self.closed = True
         self._wake.set()
         if self.sock is not None:
             self.sock.close()
-        if self._plain is not None:
-            self._plain.close()
+        if self._nonblocking_sock is not None:
+            self._nonblocking_sock.close()
 
 
 def iter_received(sock: Any) -> Iterator[bytes]:
-    """Yield what arrives until the peer closes."""
+    """Yield received chunks until the peer closes the connection."""
     while True:
         data = sock.recv(RECEIVE_BYTES)
         if not data:
@@ -95,14 +95,14 @@
 
 
 def set_socket_options(sock: Any, unacked_ms: int = UNACKED_TIMEOUT_MS) -> None:
-    """Send without delay and give up on a peer that acknowledges nothing."""
+    """Disable Nagle's algorithm and set the timeout for unacknowledged data, in ms."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacked_ms)
     sock.settimeout(None)
 
 
 def run_writer(write_loop: Callable[[], None]) -> None:
-    """Run the writer of a connection; its reader reports why the connection ended."""
+    """Run a connection's write loop; errors are left to its reader to report."""
     try:
         write_loop()
     except OSError:
--- a/src/gentianmux/coordinator.py
+++ b/src/gentianmux/coordinator.py
@@ -1,4 +1,4 @@
-"""Coordinates the jobs of the shards that this agent owns."""
+"""Coordinator for the jobs of the shards that this agent owns."""
 
 import gevent
 from loguru import logger
@@ -24,28 +24,28 @@
 from .node_context import NodeContext
 from .submission import TaskSpec, read_job, read_request
 
-RETRY_S = 0.05
-RESEND_S = 0.2
-READ_S = 0.7
-LOST_AFTER_S = 10.0
-NO_AGENT_S = 2.0
+BACKLOG_INTERVAL_S = 0.05
+RESEND_DELAY_S = 0.2
+LOG_READ_DELAY_S = 0.7
+LOST_TIMEOUT_S = 10.0
+NO_AGENT_TIMEOUT_S = 2.0
 MAX_TRAILS = 1000
-REQUEST_MARK = b"request:"
+REQUEST_PREFIX = b"request:"
 
 
 class Coordinator:
-    """Admits jobs, places their tasks, and gives each waiter the whole answer.
+    """Admits jobs, places their tasks and sends each waiter the complete answer.
 
     Parameters
     ----------
     ctx : NodeContext
-        The blackboard; this puts itself there as ``coordinator``.
+        Shared context; the new object registers itself there as ``coordinator``.
     """
 
     def __init__(self, ctx: NodeContext) -> None:
         ctx.coordinator = self
         self.jobs: dict[str, Job] = {}
-        self._repeats = RetryBudget(ctx.cfg.hedge_percent)
+        self._retry_budget = RetryBudget(ctx.cfg.hedge_percent)
         self.trails: dict[str, Job] = {}
         self._ctx = ctx
         self._lost_since: dict[str, float] = {}
@@ -53,7 +53,7 @@
     # Admission
 
     def on_submit(self, msg: Submit, waiter: Waiter) -> None:
-        """Rule on a submission: admit, join, answer from the ledger, ask for traces, refuse."""
+        """Handle a submission: admit it, join a running job, replay an answer, or refuse it."""
         ctx = self._ctx
         shard = ctx.shard_of(msg.key)
         refusal = ctx.shard_manager.refusal(shard)
@@ -65,7 +65,7 @@
         self.apply_admission(ruling, msg, waiter)
 
     def apply_admission(self, ruling: AdmissionResult, msg: Submit, waiter: Waiter) -> None:
-        """Carry out what the ledger said."""
+        """Act on the ledger's decision about a submission."""
         if ruling.decision is AdmissionDecision.ADMIT:
             self._admit(msg, waiter, ruling.attempt)
         elif ruling.decision is AdmissionDecision.JOIN:
@@ -79,7 +79,7 @@
 
     def _admit(self, msg: Submit, waiter: Waiter, attempt: int) -> None:
         try:
-            specs = read_specs(msg, self._ctx.now_ms())
+            specs = parse_specs(msg, self._ctx.now_ms())
         except GentianmuxError as exc:
             self._refuse(msg.key, exc.code, waiter, exc.detail)
             return
@@ -87,18 +87,18 @@
         if refusal is not None:
             self._refuse(msg.key, refusal, waiter)
             return
-        job = self._begin(msg, waiter, specs, attempt)
+        job = self._create_job(msg, waiter, specs, attempt)
         self._ctx.placement.place(job)
         self._finish_if_done(job)
 
-    def _begin(self, msg: Submit, waiter: Waiter, specs: list[TaskSpec], attempt: int) -> Job:
+    def _create_job(self, msg: Submit, waiter: Waiter, specs: list[TaskSpec], attempt: int) -> Job:
         ctx = self._ctx
         shard = ctx.shard_of(msg.key)
         row = ctx.fleet.shards[shard]
         ctx.shard_manager.owned[shard].ledger.admit(msg.key, msg.digest, msg.submitted_ms)
         job = Job(msg, shard, row.epoch, specs, ctx.now(), attempt)
-        self._repeats.first_try()
-        job.note(ctx.now(), f"admitted by {ctx.process} under epoch {row.epoch}")
+        self._retry_budget.record_request()
+        job.add_trail_step(ctx.now(), f"admitted by {ctx.process} under epoch {row.epoch}")
         self.jobs[msg.key] = job
         self._keep_trail(job)
         if msg.wait:
@@ -115,22 +115,22 @@
     def resume_job(
         self, msg: Submit, waiter: Waiter, traces: dict[str, Trace], whole: bool
     ) -> None:
-        """Go on with a job that an earlier owner began, from the traces of its tasks.
+        """Resume a job that an earlier owner admitted, from the traces of its tasks.
 
-        Tasks without a trace start now when every agent that could hold one has answered
+        Tasks without a trace are started if every agent that could hold one has answered
         (``whole``); otherwise their outcome is unknown.
         """
         try:
-            specs = read_specs(msg, self._ctx.now_ms())
+            specs = parse_specs(msg, self._ctx.now_ms())
         except GentianmuxError as exc:
             self._refuse(msg.key, exc.code, waiter, exc.detail)
             return
-        job = self._begin(msg, waiter, specs, 0)
-        job.note(self._ctx.now(), f"resumed from the traces of {len(traces)} agents")
+        job = self._create_job(msg, waiter, specs, 0)
+        job.add_trail_step(self._ctx.now(), f"resumed from the traces of {len(traces)} agents")
         _apply_traces(job, traces)
         for agent, trace in traces.items():
             if trace.running:
-                self._ctx.placement.loads[agent].mine += len(trace.running)
+                self._ctx.placement.loads[agent].own_tasks += len(trace.running)
                 self._ctx.placement.send_share(job, agent, trace.running)
         if not whole:
             job.end_waiting(ResultCode.TASK_UNKNOWN)
@@ -138,7 +138,7 @@
         self._finish_if_done(job)
 
     def on_query(self, msg: Query, waiter: Waiter) -> None:
-        """Answer a question for a job's state."""
+        """Answer a query for a job's state."""
         shard = self._ctx.shard_of(msg.key)
         refusal = self._ctx.shard_manager.refusal(shard)
         if refusal is not None:
@@ -156,13 +156,13 @@
             self._refuse(msg.key, code, waiter)
 
     def on_cancel(self, msg: Cancel, waiter: Waiter) -> None:
-        """Cancel a job: what has not started is taken back, what has is stopped."""
+        """Cancel a job: revoke tasks that have not started and stop those that have."""
         job = self.jobs.get(msg.key)
         if job is None:
             self.on_query(Query(msg.request, msg.key, False), waiter)
             return
         job.cancelled = True
-        job.note(self._ctx.now(), "cancelled")
+        job.add_trail_step(self._ctx.now(), "cancelled")
         job.waiters.add(waiter)
         job.end_waiting(ResultCode.CANCELLED)
         self._ctx.placement.backlog.pop(job.key, None)
@@ -171,7 +171,7 @@
         self._finish_if_done(job)
 
     def on_explain(self, msg: Explain, waiter: Waiter) -> None:
-        """Tell the decision trail of a job."""
+        """Send the decision trail of a job."""
         job = self.trails.get(msg.key)
         if job is None:
             self._refuse(msg.key, ResultCode.JOB_UNKNOWN, waiter)
@@ -188,23 +188,23 @@
     # Results
 
     def on_results(self, batch: ResultBatch, sender: str) -> None:
-        """Take in results, then place what waits."""
+        """Apply results, then place waiting tasks."""
         job = self.jobs.get(batch.key)
         if job is None or batch.epoch != job.epoch:
             self._ctx.metrics.count("late_results", len(batch.results))
-            self._ctx.placement.loads[sender].report(batch.load, self._ctx.now())
+            self._ctx.placement.loads[sender].record_report(batch.load, self._ctx.now())
             return
         for result in batch.results:
-            self._take(job, result, sender)
+            self._apply_result(job, result, sender)
             if job.key not in self.jobs:
                 return
-        self._ctx.placement.loads[sender].report(batch.load, self._ctx.now())
+        self._ctx.placement.loads[sender].record_report(batch.load, self._ctx.now())
         if job.waiting:
             self._ctx.placement.place(job)
         self._finish_if_done(job)
         self._ctx.placement.place_soon()
 
-    def _take(self, job: Job, result: TaskResult, sender: str) -> None:
+    def _apply_result(self, job: Job, result: TaskResult, sender: str) -> None:
         if result.code == ResultCode.STALE_EPOCH:
             self.abandon(job)
             return
@@ -215,20 +215,22 @@
         if job.tasks[result.number].phase is Phase.WAITING:
             code = ResultCode(result.code)
             self._ctx.placement.on_refused(job, sender, code)
-            job.note(self._ctx.now(), f"task {result.number} refused by {sender}: {code.label}")
+            job.add_trail_step(
+                self._ctx.now(), f"task {result.number} refused by {sender}: {code.label}"
+            )
             self._ctx.metrics.count("retries")
             self._ctx.metrics.count("wasted", label=f"refused_{code.label}")
         else:
-            self._ctx.placement.loads[sender].served()
+            self._ctx.placement.loads[sender].record_success()
             self._ctx.placement.on_task_ended(sender, job.service, ResultCode(result.code))
 
     def _finish_if_done(self, job: Job) -> None:
-        if job.open or job.key not in self.jobs:
+        if job.open_count or job.key not in self.jobs:
             return
         now = self._ctx.now()
         code = job.outcome()
         answer = job.answer(now)
-        job.note(now, f"ended: {code.label}")
+        job.add_trail_step(now, f"ended: {code.label}")
         del self.jobs[job.key]
         self._ctx.placement.backlog.pop(job.key, None)
         ledger = self._ctx.shard_manager.ledger_of(job.shard, job.epoch)
@@ -240,17 +242,17 @@
         self._answer(job.key, code, answer, sorted(job.waiters))
 
     def abandon(self, job: Job) -> None:
-        """Give up a job whose shard has a newer owner, and send its waiters there."""
+        """Drop a job whose shard has a newer owner; its waiters retry there."""
         if self.jobs.pop(job.key, None) is None:
             return
         self._ctx.placement.backlog.pop(job.key, None)
         for agent in sorted(job.agents()):
-            self._ctx.placement.release(agent, len(job.sent_to(agent)))
+            self._ctx.placement.release(agent, len(job.tasks_at(agent)))
         for waiter in sorted(job.waiters):
             self._refuse(job.key, ResultCode.STALE_EPOCH, waiter)
 
     def abandon_shard(self, shard: int, epoch: int) -> None:
-        """Give up all jobs of a shard that were begun under an epoch."""
+        """Drop all jobs of a shard that were admitted under an epoch."""
         mine = [job for job in self.jobs.values() if (job.shard, job.epoch) == (shard, epoch)]
         for job in mine:
             self.abandon(job)
@@ -258,93 +260,93 @@
     # Losses
 
     def on_shutdown_notice(self, msg: Farewell, sender: str) -> None:
-        """Send a leaving agent nothing more, and tell it once it holds none of our tasks."""
+        """Stop sending to an agent that shuts down, and reply once it holds none of our tasks."""
         self._ctx.placement.leaving.add(sender)
-        self._ctx.placement.forget(sender)
+        self._ctx.placement.drop_reservations(sender)
         if any(sender in job.agents() for job in self.jobs.values()):
             self._resend(sender)
         else:
             self._ctx.peers.send(sender, FarewellReply(self._ctx.process))
 
     def on_lost(self, process: str, opened: bool, refused: bool) -> None:
-        """React to a closed connection: resend, or end what is lost with its agent."""
-        self._ctx.placement.forget(process)
+        """Handle a closed connection: resend, or end the tasks lost with the agent."""
+        self._ctx.placement.drop_reservations(process)
         held = [job for job in self.jobs.values() if process in job.agents()]
         if not held:
             return
         for job in held:
-            for index in job.sent_to(process):
-                job.tasks[index].left |= opened
+            for index in job.tasks_at(process):
+                job.tasks[index].may_have_arrived |= opened
         fresh = process not in self._lost_since
         since = self._lost_since.setdefault(process, self._ctx.now())
         if refused:
-            # The log may say that the agent left as planned; time to read it is given first.
+            # The log may hold a record of a planned shutdown, which must be read first.
             self._ctx.read_requested.set()
-            self._ctx.clock.call_later(READ_S, self._end_all_lost, process)
-        elif self._ctx.now() - since > LOST_AFTER_S:
-            self._end_all_lost(process)
+            self._ctx.clock.call_later(LOG_READ_DELAY_S, self._end_all_lost_tasks, process)
+        elif self._ctx.now() - since > LOST_TIMEOUT_S:
+            self._end_all_lost_tasks(process)
         elif fresh or not self._ctx.peers.is_connected(process):
-            self._ctx.clock.call_later(RESEND_S, self._resend, process)
+            self._ctx.clock.call_later(RESEND_DELAY_S, self._resend, process)
 
-    def _end_all_lost(self, process: str) -> None:
+    def _end_all_lost_tasks(self, process: str) -> None:
         self._lost_since.pop(process, None)
         for job in [job for job in self.jobs.values() if process in job.agents()]:
             self._end_lost(job, process)
 
     def _resend(self, process: str) -> None:
-        """Send again what an agent holds; its start records make a repeat harmless."""
+        """Resend the tasks at an agent; its start records make this idempotent."""
         for job in [job for job in self.jobs.values() if process in job.agents()]:
             self._ctx.metrics.count("wasted", label="resend")
-            self._ctx.placement.send_share(job, process, job.sent_to(process))
+            self._ctx.placement.send_share(job, process, job.tasks_at(process))
 
     def _end_lost(self, job: Job, process: str) -> None:
-        indexes = job.sent_to(process)
-        job.note(self._ctx.now(), f"{process} lost with {len(indexes)} tasks")
-        # An agent writes that it leaves only when nothing it started is still unreported, so
-        # what is thought to be there then was refused.
+        indexes = job.tasks_at(process)
+        job.add_trail_step(self._ctx.now(), f"{process} lost with {len(indexes)} tasks")
+        # An agent appends its leave record only after it has reported everything it started, so
+        # a task still listed as sent to it was refused.
         parted = process in self._ctx.fleet.left
         for index in indexes:
-            if job.tasks[index].left and not parted and not self._may_repeat(job):
+            if job.tasks[index].may_have_arrived and not parted and not self._may_retry(job):
                 job.end(index, ResultCode.TASK_UNKNOWN)
             else:
-                job.put_back(index)
+                job.requeue(index)
         self._ctx.placement.release(process, len(indexes))
         self._ctx.placement.place(job)
         self._finish_if_done(job)
 
     def run_backlog_loop(self) -> None:
-        """Place what waits and end what is past its time, for as long as the process lives."""
+        """Place the backlog and end expired jobs until the process ends."""
         while True:
-            gevent.sleep(RETRY_S)
+            gevent.sleep(BACKLOG_INTERVAL_S)
             self.step()
 
-    def _may_repeat(self, job: Job) -> bool:
-        """Whether a task that may have run may run again: idempotent requests, in a budget."""
-        if not job.idempotent or not self._repeats.may_repeat():
+    def _may_retry(self, job: Job) -> bool:
+        """Whether a task that may have run can be retried: idempotent, and within the budget."""
+        if not job.idempotent or not self._retry_budget.try_retry():
             return False
         self._ctx.metrics.count("wasted", label="repeated")
         return True
 
     def step(self) -> None:
-        """One round of placing and giving up."""
+        """Place the backlog once and end expired jobs and lost tasks."""
         self._ctx.placement.place_backlog()
-        self._end_overdue()
-        self._end_silent()
+        self._end_expired_jobs()
+        self._end_tasks_at_dead_agents()
 
-    def _end_overdue(self) -> None:
+    def _end_expired_jobs(self) -> None:
         now, now_ms = self._ctx.now(), self._ctx.now_ms()
         for job in list(self._ctx.placement.backlog.values()):
             if 0 <= job.deadline_ms <= now_ms:
                 job.end_waiting(ResultCode.DEADLINE_PASSED)
-            elif job.no_agent_since is not None and now - job.no_agent_since > NO_AGENT_S:
+            elif job.no_agent_since is not None and now - job.no_agent_since > NO_AGENT_TIMEOUT_S:
                 job.end_waiting(ResultCode.NO_ENDPOINT)
             else:
                 continue
             self._ctx.placement.backlog.pop(job.key, None)
             self._finish_if_done(job)
 
-    def _end_silent(self) -> None:
-        """Give up tasks at agents that have been thought dead for long."""
+    def _end_tasks_at_dead_agents(self) -> None:
+        """End tasks at agents that membership has reported dead for ``LOST_TIMEOUT_S``."""
         holding = {agent for job in self.jobs.values() for agent in job.agents()}
         for agent in list(self._lost_since):
             if agent not in holding or self._ctx.membership.is_alive(agent):
@@ -373,11 +375,17 @@
         self._ctx.peers.send(waiter.process, msg)
 
 
-def read_specs(msg: Submit, now_ms: int) -> list[TaskSpec]:
-    """The tasks of a submission, from the body as the caller sent it."""
-    if msg.body.startswith(REQUEST_MARK):
+def parse_specs(msg: Submit, now_ms: int) -> list[TaskSpec]:
+    """Parse the tasks of a submission from the caller's original body.
+
+    Raises
+    ------
+    GentianmuxError
+        With the code of the first error in the body.
+    """
+    if msg.body.startswith(REQUEST_PREFIX):
         job_id = msg.key.partition("/")[2]
-        return read_request(msg.body[len(REQUEST_MARK) :], job_id, now_ms).tasks
+        return read_request(msg.body[len(REQUEST_PREFIX) :], job_id, now_ms).tasks
     return read_job(msg.body, now_ms).tasks
 
 
@@ -394,5 +402,5 @@
             if index not in job.waiting:
                 continue
             task = job.tasks[index]
-            task.phase, task.agent, task.left = Phase.SENT, agent, True
+            task.phase, task.agent, task.may_have_arrived = Phase.SENT, agent, True
             job.waiting.remove(index)
--- a/src/gentianmux/dispatcher.py
+++ b/src/gentianmux/dispatcher.py
@@ -1,4 +1,4 @@
-"""Carries callers' submissions from an entry to the owners of their shards."""
+"""Dispatcher that forwards callers' requests from an entry to the shard owners."""
 
 from typing import NamedTuple
 
@@ -9,10 +9,10 @@
 from .messages import Answer, Cancel, Explain, Query, Submit
 from .node_context import NodeContext
 
-RETRY_S = 0.05
-PATIENCE_S = 5.0
+RETRY_INTERVAL_S = 0.05
+OWNER_TIMEOUT_S = 5.0
 RETRY_AFTER_MS = 500
-TRY_AGAIN = frozenset(
+RETRYABLE_CODES = frozenset(
     {
         ResultCode.NOT_OWNER,
         ResultCode.LEASE_LAPSED,
@@ -23,11 +23,11 @@
 )
 
 
-Question = Submit | Query | Cancel | Explain
+OwnerRequest = Submit | Query | Cancel | Explain
 
 
 class Reply(NamedTuple):
-    """What a caller is told: the code, a detail, and the whole answer when there is one."""
+    """Reply to a caller: result code, detail, and the complete answer if there is one."""
 
     code: ResultCode
     detail: str = ""
@@ -42,12 +42,12 @@
 
 
 class Dispatcher:
-    """Finds the owner of each key, asks it, and hands its answer to whoever waits.
+    """Sends each request to the owner of its key and returns the owner's answer.
 
     Parameters
     ----------
     ctx : NodeContext
-        The blackboard; this puts itself there as ``dispatcher``.
+        Shared context; the new object registers itself there as ``dispatcher``.
     """
 
     def __init__(self, ctx: NodeContext) -> None:
@@ -58,7 +58,9 @@
         self._next = 0
 
     def submit(self, msg: Submit, wait_s: float) -> Reply:
-        """Submit and wait; a submission is sent again freely, since its id is admitted once.
+        """Submit and wait for the answer.
+
+        Retrying a submission is idempotent, since its id is admitted only once.
 
         Parameters
         ----------
@@ -66,63 +68,69 @@
             The submission.
         wait_s : float
             Seconds to wait for the final answer.
+
+        Returns
+        -------
+        Reply
+            The owner's answer, ``ACCEPTED`` when time is up, or ``OUTCOME_UNKNOWN`` or
+            ``SHARD_UNAVAILABLE`` when no owner answered.
         """
-        return self._ask(msg, max(wait_s, PATIENCE_S), may_run=True)
+        return self._ask(msg, max(wait_s, OWNER_TIMEOUT_S), may_run=True)
 
     def query(self, key: str, wait_s: float) -> Reply:
-        """Ask for a job's answer."""
-        return self._ask(Query(0, key, wait_s > 0), max(wait_s, PATIENCE_S), may_run=False)
+        """Query a job's answer, waiting up to ``wait_s`` seconds for it."""
+        return self._ask(Query(0, key, wait_s > 0), max(wait_s, OWNER_TIMEOUT_S), may_run=False)
 
     def cancel(self, key: str) -> Reply:
         """Cancel a job and return its final answer."""
-        return self._ask(Cancel(0, key), PATIENCE_S, may_run=False)
+        return self._ask(Cancel(0, key), OWNER_TIMEOUT_S, may_run=False)
 
     def explain(self, key: str) -> Reply:
-        """Ask how a job was decided."""
-        return self._ask(Explain(0, key), PATIENCE_S, may_run=False)
+        """Return a job's decision trail."""
+        return self._ask(Explain(0, key), OWNER_TIMEOUT_S, may_run=False)
 
-    def _ask(self, msg: Question, wait_s: float, may_run: bool) -> Reply:
-        """Ask owner after owner until one answers, time is up, or none can be found."""
+    def _ask(self, msg: OwnerRequest, wait_s: float, may_run: bool) -> Reply:
+        """Retry with the current owner until one answers or time is up."""
         ctx = self._ctx
-        began = ctx.now()
-        unsure = False
+        started_at = ctx.now()
+        outcome_unknown = False
         while True:
-            left_s = began + wait_s - ctx.now()
-            asked = self._ask_once(msg, left_s)
-            if asked.answer is not None and asked.answer.code not in TRY_AGAIN:
-                return _to_reply(asked.answer)
-            if asked.sent and ctx.now() >= began + wait_s:
+            left_s = started_at + wait_s - ctx.now()
+            attempt = self._ask_once(msg, left_s)
+            if attempt.answer is not None and attempt.answer.code not in RETRYABLE_CODES:
+                return _to_reply(attempt.answer)
+            if attempt.sent and ctx.now() >= started_at + wait_s:
                 return Reply(ResultCode.ACCEPTED)
-            # An owner that was lost after it was asked, or gave the job up, may have begun it.
-            lost = asked.sent and asked.answer is None
-            gave_up = asked.answer is not None and asked.answer.code == ResultCode.STALE_EPOCH
-            unsure = unsure or lost or gave_up
-            if ctx.now() >= began + min(wait_s, PATIENCE_S):
-                return _give_up(may_run and unsure)
-            gevent.sleep(RETRY_S)
-
-    def _ask_once(self, msg: Question, wait_s: float) -> "_Asked":
-        """Ask the present owner; no answer when there is none, it is lost, or time is up."""
+            # An owner that was lost after the request was sent, or dropped the job, may have run it.
+            lost = attempt.sent and attempt.answer is None
+            gave_up = attempt.answer is not None and attempt.answer.code == ResultCode.STALE_EPOCH
+            outcome_unknown = outcome_unknown or lost or gave_up
+            if ctx.now() >= started_at + min(wait_s, OWNER_TIMEOUT_S):
+                return _unanswered_reply(may_run and outcome_unknown)
+            gevent.sleep(RETRY_INTERVAL_S)
+
+    def _ask_once(self, msg: OwnerRequest, wait_s: float) -> "_Attempt":
+        """Ask the current owner; the answer is None if there is none, it is lost or time is up."""
         ctx = self._ctx
         shard = ctx.shard_of(msg.key)
         owner = ctx.fleet.shards[shard].owner
         if not owner or ctx.address_of(owner) is None:
-            return _Asked(False, None)
+            return _Attempt(False, None)
         self._next += 1
         number = self._next
         fut: AsyncResult = AsyncResult()
         self._pending[number] = _Pending(owner, shard, fut)
         try:
             if not ctx.peers.send(owner, msg._replace(request=number)):
-                return _Asked(False, None)
-            return _Asked(True, fut.get(timeout=max(0.0, wait_s)))
+                return _Attempt(False, None)
+            return _Attempt(True, fut.get(timeout=max(0.0, wait_s)))
         except gevent.Timeout:
-            return _Asked(True, None)
+            return _Attempt(True, None)
         finally:
             del self._pending[number]
 
     def on_answer(self, msg: Answer) -> None:
-        """Hand an answer to the one that asked; a late one is dropped."""
+        """Pass an answer to the pending request; late answers are dropped."""
         pending = self._pending.get(msg.request)
         if pending is None:
             self._ctx.metrics.count("wasted", label="late_answer")
@@ -130,24 +138,24 @@
         pending.fut.set(msg)
 
     def on_fleet_change(self) -> None:
-        """Wake those who wait for a process that no longer owns their shard."""
+        """Wake requests that wait for a process that no longer owns their shard."""
         for pending in list(self._pending.values()):
             if self._ctx.fleet.shards[pending.shard].owner != pending.owner:
                 pending.fut.set(None)
 
     def on_lost(self, process: str, opened: bool) -> None:
-        """Wake those who wait for a process whose connection closed; they ask again."""
+        """Wake requests that wait for a process whose connection closed, so that they retry."""
         for pending in list(self._pending.values()):
             if pending.owner == process:
                 pending.fut.set(None)
 
 
-class _Asked(NamedTuple):
+class _Attempt(NamedTuple):
     sent: bool
     answer: Answer | None
 
 
-def _give_up(may_have_run: bool) -> Reply:
+def _unanswered_reply(may_have_run: bool) -> Reply:
     if may_have_run:
         detail = "the owner was lost after it was asked; resubmit the same id"
         return Reply(ResultCode.OUTCOME_UNKNOWN, detail, retry_after_ms=RETRY_AFTER_MS)
--- a/src/gentianmux/endpoint_client.py
+++ b/src/gentianmux/endpoint_client.py
@@ -1,4 +1,4 @@
-"""Starts tasks at the endpoint beside an agent, over HTTP by IP number."""
+"""HTTP client for the endpoint of an agent."""
 
 import json
 from typing import Any, NamedTuple
@@ -17,19 +17,19 @@
 
 
 class TaskOutcome(NamedTuple):
-    """How a task ended at the endpoint."""
+    """Outcome of a task at the endpoint."""
 
     code: ResultCode
     output: str
 
 
 class EndpointClient:
-    """Talks to one endpoint.
+    """Runs and controls tasks at one endpoint.
 
     Parameters
     ----------
     cfg : Settings
-        Its address, its slots and the lease of a task.
+        Address of the endpoint, number of slots, timeouts and task lease.
     """
 
     def __init__(self, cfg: Settings) -> None:
@@ -56,11 +56,11 @@
         Parameters
         ----------
         job : JobRecord
-            The job it belongs to.
+            Job that the task belongs to.
         task : Task
-            The task.
+            Task to run.
         timeout_s : float
-            Seconds until its outcome is given up as unknown.
+            Seconds after which the outcome counts as unknown.
 
         Returns
         -------
@@ -82,7 +82,7 @@
         try:
             with timeout:
                 response = self._tasks.post("/v1/tasks", body=body)
-                return _read_run(response.status_code, bytes(response.read()))
+                return _parse_outcome(response.status_code, bytes(response.read()))
         except gevent.Timeout as exc:
             if exc is not timeout:
                 raise
@@ -93,23 +93,23 @@
             return TaskOutcome(ResultCode.TASK_UNKNOWN, type(exc).__name__)
 
     def renew(self, names: list[str]) -> None:
-        """Renew the leases of running tasks, all in one call."""
+        """Renew the leases of running tasks in one call."""
         self._call("/v1/lease", {"tasks": names, "lease_ms": self._cfg.task_lease_ms})
 
     def stop(self, names: list[str]) -> None:
-        """Ask the endpoint to stop tasks; each still ends by the answer to its own call."""
+        """Ask the endpoint to stop tasks; each outcome is still returned by ``run``."""
         self._call("/v1/stop", {"tasks": names})
 
     def throttle(self, names: list[str], share: float) -> None:
-        """Ask the endpoint to give tasks only a share of their processor time."""
+        """Ask the endpoint to limit tasks to a share of their CPU time, from 0 to 1."""
         self._call("/v1/throttle", {"tasks": names, "share": share})
 
     def checkpoint(self, names: list[str]) -> None:
-        """Ask the endpoint to save the state of tasks."""
+        """Ask the endpoint to checkpoint tasks."""
         self._call("/v1/checkpoint", {"tasks": names})
 
     def usage(self) -> dict[str, Any]:
-        """What the endpoint reports of its usage, which lags; empty when it does not answer."""
+        """Return the endpoint's usage report, which lags; empty if it does not answer."""
         try:
             with gevent.Timeout(CONTROL_TIMEOUT_S):
                 return dict(json.loads(self._control.get("/v1/usage").read()))
@@ -127,11 +127,11 @@
 
 
 def task_name(key: str, task: Task) -> str:
-    """Name of a task at its endpoint: job, index and attempt."""
+    """Name of a task at its endpoint, from job key, index and attempt."""
     return f"{key}/{task.number}/{task.attempt}"
 
 
-def _read_run(status: int, data: bytes) -> TaskOutcome:
+def _parse_outcome(status: int, data: bytes) -> TaskOutcome:
     content = json.loads(data)
     output = str(content.get("output", content.get("error", "")))
     if not output.isascii():
--- a/src/gentianmux/errors.py
+++ b/src/gentianmux/errors.py
@@ -1,19 +1,19 @@
-"""The exceptions that carry a numbered result code."""
+"""Exceptions with a numbered result code."""
 
 from .codes import ResultCode
 
 
 class GentianmuxError(Exception):
-    """An error with a numbered code and a detail for people.
+    """Error with a numbered code and a human-readable detail.
 
     Parameters
     ----------
     code : ResultCode
-        What went wrong.
+        Result code.
     detail : str
-        What a person needs to mend it; never a key or a payload.
+        Cause of the error; must not contain a key or a payload.
     retry_after_ms : int
-        When it makes sense to try again; 0 for no advice.
+        Suggested delay before a retry, in ms; 0 for none.
     """
 
     def __init__(self, code: ResultCode, detail: str = "", retry_after_ms: int = 0) -> None:
@@ -24,8 +24,8 @@
 
 
 class FrameError(GentianmuxError):
-    """A frame that cannot be read; the connection it came by is closed."""
+    """Invalid frame; its connection is closed."""
 
 
 class LogError(GentianmuxError):
-    """The platform's log refused, failed or did not answer."""
+    """Failed call of the platform's log."""
--- a/src/gentianmux/executor.py
+++ b/src/gentianmux/executor.py
@@ -1,4 +1,4 @@
-"""Starts tasks at the endpoint beside this agent, in each member's fair share."""
+"""Executor that starts tasks at this agent's endpoint, sharing its slots fairly."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -29,15 +29,15 @@
 from .start_records import JobRecord, StartRecords, TaskRecord
 
 DEFAULT_COST_MS = 300.0
-RENEWALS_A_LEASE = 3
-FAREWELL_AGAIN_S = 0.3
-GATHER_S = 0.002
-RECORDS_PART = 500
-OFFER_S = 0.25
+RENEWALS_PER_LEASE = 3
+NOTICE_RETRY_S = 0.3
+RESULT_BATCH_DELAY_S = 0.002
+JOBS_PER_HANDOVER_FRAME = 500
+OFFER_TIMEOUT_S = 0.25
 
 
 class Reservation(NamedTuple):
-    """A place in the queue for a task that waits at its coordinator."""
+    """Queue position for a task that waits at its coordinator."""
 
     key: str
     epoch: int
@@ -45,37 +45,37 @@
 
 
 class Executor:
-    """The controller of one endpoint's slots.
+    """Queues tasks and runs them in the slots of one endpoint.
 
     Parameters
     ----------
     ctx : NodeContext
-        The blackboard; this puts itself there as ``executor``.
+        Shared context; the new object registers itself there as ``executor``.
     """
 
     def __init__(self, ctx: NodeContext) -> None:
         ctx.executor = self
         self.records = StartRecords(ctx.cfg.keep_s * 1000)
         self.running: dict[str, tuple[JobRecord, TaskRecord]] = {}
-        self._records_held_by = ""
-        self._asked_records = float("-inf")
-        self._flushing: set[str] = set()
-        self._farewells: set[str] = set()
-        self._asked_farewell = float("-inf")
+        self._records_holder = ""
+        self._records_sent_at = float("-inf")
+        self._flush_scheduled: set[str] = set()
+        self._notice_replies: set[str] = set()
+        self._notices_sent_at = float("-inf")
         self._ctx = ctx
         self._endpoint = EndpointClient(ctx.cfg)
         self._queue = FairQueue[tuple[JobRecord, TaskRecord] | Reservation](self._weight)
         self._offers: dict[int, str] = {}
-        self._held: Counter[str] = Counter()
+        self._slots_by_member: Counter[str] = Counter()
         self._next_offer = 0
 
     @property
     def load(self) -> int:
-        """Tasks that run or wait here."""
+        """Number of tasks running or queued here, including offered slots."""
         return len(self.running) + len(self._offers) + len(self._queue)
 
     def on_batch(self, batch: StartBatch, sender: str) -> None:
-        """Take in a job's share of tasks."""
+        """Accept a job's share of tasks."""
         ctx = self._ctx
         offer = self.records.offer(batch, sender, ctx.now(), ctx.now_ms())
         if offer.refused:
@@ -86,12 +86,12 @@
         for record in offer.queued:
             self._admit(offer.job, record, batch.how, held)
         self._end_offer(batch.offer)
-        self._pump()
-        # What was handed back is wanted elsewhere, whatever else of the job runs on here.
-        self._flush(offer.job, at_once=True)
+        self._fill_slots()
+        # Refused tasks can run elsewhere now, even while other tasks of the job run here.
+        self._flush(offer.job, immediately=True)
 
     def on_revoke(self, keys: list[str]) -> None:
-        """Take back what has not started of jobs, and stop what has."""
+        """Revoke tasks of jobs that have not started, and stop those that have."""
         running = [(key, record.task) for key in keys for record in self.records.revoke(key)]
         for key in keys:
             if key in self.records.jobs:
@@ -101,9 +101,9 @@
             self._ctx.clock.call_soon(self._endpoint.stop, names)
 
     def on_trace_query(self, query: TraceQuery, sender: str) -> None:
-        """Say what is known of keys; the older epochs of the shard are fenced from here on."""
+        """Send the traces of keys and fence older epochs of the shard."""
         for job in self.records.fence(query.shard, query.epoch):
-            self._flush(job, at_once=True)
+            self._flush(job, immediately=True)
         reply = TraceReply(
             query.query,
             self._ctx.process,
@@ -117,50 +117,50 @@
         return self.load == 0
 
     def send_shutdown_notices(self) -> bool:
-        """Ask every coordinator to be done with this agent; true once all of them are.
+        """Notify every coordinator of the shutdown; true once all have acknowledged it.
 
-        A frame that is still on its way here is thereby answered before this process ends, so
-        its tasks are known not to have run.
+        Frames still in flight to this agent are then answered before the process ends, so that
+        their tasks are known not to have run.
         """
         ctx = self._ctx
         others = {each.process for each in ctx.membership.alive("agent")}
         known = {job.coordinator for job in self.records.jobs.values()}
         others |= {process for process in known if ctx.membership.is_alive(process)}
-        left = others - self._farewells - {ctx.process}
-        if ctx.now() - self._asked_farewell > FAREWELL_AGAIN_S:
-            self._asked_farewell = ctx.now()
+        left = others - self._notice_replies - {ctx.process}
+        if ctx.now() - self._notices_sent_at > NOTICE_RETRY_S:
+            self._notices_sent_at = ctx.now()
             for process in sorted(left):
                 ctx.peers.send(process, Farewell(ctx.process))
         return not left
 
     def on_shutdown_notice_reply(self, msg: FarewellReply) -> None:
-        """Note that a coordinator is done with this agent."""
-        self._farewells.add(msg.process)
+        """Record that a coordinator has no more tasks here."""
+        self._notice_replies.add(msg.process)
 
     def hand_over_records(self, target: str) -> bool:
-        """Give the start records to another agent; true once it holds them all."""
-        if self._records_held_by == target:
+        """Send the start records to another agent; true once it has acknowledged them all."""
+        if self._records_holder == target:
             return True
         now = self._ctx.now()
-        if now - self._asked_records > FAREWELL_AGAIN_S:
-            self._asked_records = now
+        if now - self._records_sent_at > NOTICE_RETRY_S:
+            self._records_sent_at = now
             for part in _record_parts(self._ctx.process, self.records):
                 self._ctx.peers.send(target, part)
         return False
 
     def on_records(self, msg: RecordsHandover, sender: str) -> None:
-        """Take in the start records of an agent that is leaving."""
+        """Load the start records of an agent that shuts down."""
         self.records.load(msg.jobs, msg.forgotten_ms, self._ctx.now())
         if msg.last and not self._ctx.draining:
             self._ctx.peers.send(sender, RecordsReply(self._ctx.process))
 
     def on_records_reply(self, msg: RecordsReply) -> None:
-        """Note who holds this agent's start records now."""
-        self._records_held_by = msg.process
+        """Record which agent now holds this agent's start records."""
+        self._records_holder = msg.process
 
     def run_lease_renewals(self) -> None:
-        """Renew the leases of long tasks for as long as the process lives."""
-        period_s = self._ctx.cfg.task_lease_ms / 1000 / RENEWALS_A_LEASE
+        """Renew the leases of long tasks until the process ends."""
+        period_s = self._ctx.cfg.task_lease_ms / 1000 / RENEWALS_PER_LEASE
         while True:
             gevent.sleep(period_s)
             now = self._ctx.now()
@@ -173,9 +173,9 @@
                 self._ctx.clock.call_soon(self._endpoint.renew, names)
 
     def _may_run(self, member: str) -> bool:
-        """Whether a member holds fewer slots here than its part of its claim."""
+        """Whether a member holds fewer slots here than its claim allows."""
         part = self._ctx.claims.slot_limit(member, self._ctx.identity.name, self._ctx.now())
-        return part is None or self._held[member] < part
+        return part is None or self._slots_by_member[member] < part
 
     def _weight(self, member: str) -> int:
         rules = self._ctx.config.member(member)
@@ -202,17 +202,17 @@
     # Reservations
 
     def on_reserve(self, msg: Reserve, sender: str) -> None:
-        """Keep places in the queue for tasks that wait at their coordinator."""
+        """Queue reservations for tasks that wait at their coordinator."""
         if self._ctx.draining:
             return
         room = self._ctx.cfg.queue_limit - self._queue.waiting(msg.member)
         for _ in range(min(msg.slots, room)):
             reservation = Reservation(msg.key, msg.epoch, sender)
             self._queue.push(msg.member, reservation, msg.size_ms or DEFAULT_COST_MS)
-        self._pump()
+        self._fill_slots()
 
     def on_decline(self, msg: Decline) -> None:
-        """Take back a slot for which its coordinator had no task."""
+        """Reclaim an offered slot for which the coordinator had no task."""
         self._end_offer(msg.number)
 
     def _offer(self, member: str, reservation: Reservation) -> None:
@@ -221,17 +221,17 @@
         self._next_offer += 1
         number = self._next_offer
         self._offers[number] = member
-        self._held[member] += 1
+        self._slots_by_member[member] += 1
         self._ctx.peers.send(reservation.coordinator, Offer(reservation.key, number))
-        self._ctx.clock.call_later(OFFER_S, self._end_offer, number, "offer_lapsed")
+        self._ctx.clock.call_later(OFFER_TIMEOUT_S, self._end_offer, number, "offer_lapsed")
 
     def _end_offer(self, number: int, wasted: str = "") -> None:
         if number not in self._offers:
             return
-        self._held[self._offers.pop(number)] -= 1
+        self._slots_by_member[self._offers.pop(number)] -= 1
         if wasted:
             self._ctx.metrics.count("wasted", label=wasted)
-        self._pump()
+        self._fill_slots()
 
     # Starting
 
@@ -242,7 +242,7 @@
             return ResultCode.QUEUE_FULL
         return None
 
-    def _pump(self) -> None:
+    def _fill_slots(self) -> None:
         while len(self.running) + len(self._offers) < self._ctx.cfg.slots:
             popped = self._queue.pop(self._may_run)
             if popped is None:
@@ -260,12 +260,12 @@
     def _start(self, job: JobRecord, record: TaskRecord) -> None:
         if self.records.begin(job, record, self._ctx.now()):
             self.running[task_name(job.key, record.task)] = (job, record)
-            self._held[job.member] += 1
+            self._slots_by_member[job.member] += 1
             self._ctx.metrics.count("starts")
             self.launch(job, record)
 
     def launch(self, job: JobRecord, record: TaskRecord) -> None:
-        """Run a task at the endpoint without waiting for it."""
+        """Run a task at the endpoint in a greenlet of its own."""
         self._ctx.clock.call_soon(self._run, job, record)
 
     def _run(self, job: JobRecord, record: TaskRecord) -> None:
@@ -277,7 +277,7 @@
         self.on_task_ended(job, record, run)
 
     def on_task_ended(self, job: JobRecord, record: TaskRecord, run: TaskOutcome) -> None:
-        """Take in how a task ended."""
+        """Record the outcome of a task and start the next one."""
         ran_ms = (self._ctx.now() - record.state_since) * 1000
         result = TaskResult(
             record.task.number, record.attempt, int(run.code), run.output, 0.0, ran_ms
@@ -285,8 +285,8 @@
         self._ctx.metrics.count("results", label=run.code.label)
         self.records.finish(job, record, result)
         del self.running[task_name(job.key, record.task)]
-        self._held[job.member] -= 1
-        self._pump()
+        self._slots_by_member[job.member] -= 1
+        self._fill_slots()
         self._flush(job)
 
     def _time_left_s(self, job: JobRecord) -> float:
@@ -295,24 +295,24 @@
             return longest_s
         return min(longest_s, max(0.001, (job.deadline_ms - self._ctx.now_ms()) / 1000))
 
-    def _flush(self, job: JobRecord, at_once: bool = False) -> None:
-        if not job.unsent or (job.open_count and not job.eager and not at_once):
+    def _flush(self, job: JobRecord, immediately: bool = False) -> None:
+        if not job.unsent or (job.open_count and not job.eager and not immediately):
             return
-        if job.open_count and not at_once:
+        if job.open_count and not immediately:
             self._flush_later(job)
             return
         results, job.unsent = job.unsent, []
         self._send(job.coordinator, job.key, job.epoch, results)
 
     def _flush_later(self, job: JobRecord) -> None:
-        """Send results of a job that goes on together with those of the next moment."""
-        if job.key not in self._flushing:
-            self._flushing.add(job.key)
-            self._ctx.clock.call_later(GATHER_S, self._flush_gathered, job)
+        """Batch results of an unfinished job that arrive within ``RESULT_BATCH_DELAY_S``."""
+        if job.key not in self._flush_scheduled:
+            self._flush_scheduled.add(job.key)
+            self._ctx.clock.call_later(RESULT_BATCH_DELAY_S, self._flush_batch, job)
 
-    def _flush_gathered(self, job: JobRecord) -> None:
-        self._flushing.discard(job.key)
-        self._flush(job, at_once=True)
+    def _flush_batch(self, job: JobRecord) -> None:
+        self._flush_scheduled.discard(job.key)
+        self._flush(job, immediately=True)
 
     def _send(self, process: str, key: str, epoch: int, results: list[TaskResult]) -> None:
         self._ctx.peers.send(process, ResultBatch(key, epoch, self.load, results))
@@ -320,8 +320,8 @@
 
 def _record_parts(process: str, records: StartRecords) -> Iterator[RecordsHandover]:
     jobs = records.export()
-    starts = range(0, max(1, len(jobs)), RECORDS_PART)
+    starts = range(0, max(1, len(jobs)), JOBS_PER_HANDOVER_FRAME)
     for start in starts:
-        part = jobs[start : start + RECORDS_PART]
-        last = start + RECORDS_PART >= len(jobs)
+        part = jobs[start : start + JOBS_PER_HANDOVER_FRAME]
+        last = start + JOBS_PER_HANDOVER_FRAME >= len(jobs)
         yield RecordsHandover(process, records.forgotten_ms, last, part)
--- a/src/gentianmux/fair_queue.py
+++ b/src/gentianmux/fair_queue.py
@@ -1,4 +1,4 @@
-"""A queue that shares an endpoint's slots between members by weight."""
+"""Weighted fair queue over members."""
 
 from collections import deque
 from collections.abc import Callable
@@ -8,12 +8,14 @@
 
 
 class FairQueue(Generic[T]):
-    """Weighted fair queueing by start tags: idle share is lent, bursts wait in their own line.
+    """Start-time fair queueing by member weight.
+
+    The share of idle members goes to the others; a burst delays only its own member.
 
     Parameters
     ----------
     weight_of : callable
-        Weight of a member, at least 1.
+        Returns the weight of a member, at least 1.
 
     Examples
     --------
@@ -26,44 +28,44 @@
 
     def __init__(self, weight_of: Callable[[str], int]) -> None:
         self._weight_of = weight_of
-        self._lines: dict[str, deque[tuple[T, float]]] = {}
-        self._tags: dict[str, float] = {}
-        self._virtual = 0.0
+        self._queues: dict[str, deque[tuple[T, float]]] = {}
+        self._start_tags: dict[str, float] = {}
+        self._virtual_time = 0.0
         self._length = 0
 
     def push(self, member: str, item: T, cost: float) -> None:
-        """Put an item at the end of its member's line; ``cost`` is the work expected of it."""
-        line = self._lines.get(member)
-        if not line:
-            line = self._lines.setdefault(member, deque())
-            self._tags[member] = max(self._tags.get(member, 0.0), self._virtual)
-        line.append((item, cost))
+        """Append an item to its member's queue; ``cost`` is its expected run time."""
+        queue = self._queues.get(member)
+        if not queue:
+            queue = self._queues.setdefault(member, deque())
+            self._start_tags[member] = max(self._start_tags.get(member, 0.0), self._virtual_time)
+        queue.append((item, cost))
         self._length += 1
 
     def pop(self, may_run: Callable[[str], bool] | None = None) -> tuple[str, T] | None:
-        """Take the next item of the member that is furthest behind its share."""
-        waiting = [name for name in self._lines if may_run is None or may_run(name)]
+        """Pop an item of the eligible member with the lowest start tag; None if there is none."""
+        waiting = [name for name in self._queues if may_run is None or may_run(name)]
         if not waiting:
             return None
-        member = min(waiting, key=self._tags.__getitem__)
-        line = self._lines[member]
-        item, cost = line.popleft()
+        member = min(waiting, key=self._start_tags.__getitem__)
+        queue = self._queues[member]
+        item, cost = queue.popleft()
         self._length -= 1
-        self._virtual = self._tags[member]
-        self._tags[member] += cost / max(1, self._weight_of(member))
-        if not line:
-            del self._lines[member]
+        self._virtual_time = self._start_tags[member]
+        self._start_tags[member] += cost / max(1, self._weight_of(member))
+        if not queue:
+            del self._queues[member]
             self._forget_idle()
         return member, item
 
     def _forget_idle(self) -> None:
-        if not self._lines:
-            self._tags.clear()
-            self._virtual = 0.0
+        if not self._queues:
+            self._start_tags.clear()
+            self._virtual_time = 0.0
 
     def waiting(self, member: str) -> int:
-        """Items of one member."""
-        return len(self._lines.get(member, ()))
+        """Number of queued items of one member."""
+        return len(self._queues.get(member, ()))
 
     def __len__(self) -> int:
         return self._length
--- a/src/gentianmux/frames.py
+++ b/src/gentianmux/frames.py
@@ -1,4 +1,4 @@
-"""Frames: a length, a keyed digest and a message; what fails the digest is never decoded."""
+"""Framing of messages: length prefix, keyed digest and message body."""
 
 import struct
 from collections.abc import Iterable, Iterator
@@ -13,53 +13,53 @@
 
 
 def add_digest(body: bytes, key: bytes = b"") -> bytes:
-    """Put a keyed digest before a message body."""
+    """Prepend a keyed digest to a message body."""
     return blake2b(body, digest_size=DIGEST_BYTES, key=key).digest() + body
 
 
-def verify_digest(sealed: bytes, key: bytes = b"") -> bytes:
-    """Check the digest and return the message body.
+def verify_digest(data: bytes, key: bytes = b"") -> bytes:
+    """Verify the digest and return the message body.
 
-    The codec must not see bytes that no peer made: an error inside it, raised in a greenlet,
-    walks a stack that is no longer there and ends the process.
+    Unverified bytes must not reach the codec: an exception raised inside it in a greenlet unwinds
+    an invalid stack and crashes the process.
 
     Raises
     ------
     FrameError
-        ``BAD_FRAME`` when the digest does not match.
+        ``BAD_FRAME`` if the digest does not match.
     """
-    body = sealed[DIGEST_BYTES:]
-    if add_digest(body, key) != sealed:
+    body = data[DIGEST_BYTES:]
+    if add_digest(body, key) != data:
         raise FrameError(ResultCode.BAD_FRAME, "the digest does not match")
     return body
 
 
 def pack_frame(body: bytes, key: bytes = b"") -> bytes:
-    """Make a frame of a message body."""
-    sealed = add_digest(body, key)
-    return _LENGTH.pack(len(sealed)) + sealed
+    """Build a frame from a message body."""
+    data = add_digest(body, key)
+    return _LENGTH.pack(len(data)) + data
 
 
 def split_frames(chunks: Iterable[bytes], key: bytes = b"") -> Iterator[bytes]:
-    """Turn chunks as they come off a socket into message bodies.
+    """Split a byte stream into message bodies.
 
     Parameters
     ----------
-    chunks : iterable get_or_add bytes
-        Pieces of the stream, cut anywhere.
+    chunks : iterable of bytes
+        Chunks of the stream, split at any position.
     key : bytes
-        The fleet's key, at most 64 bytes.
+        Shared secret of the fleet, at most 64 bytes.
 
     Yields
     ------
     bytes
-        One message body at a time.
+        Message bodies with a valid digest.
 
     Raises
     ------
     FrameError
-        ``FRAME_TOO_LONG`` before any byte of an over-long frame is buffered; ``BAD_FRAME`` for
-        a frame that nobody with the key made.
+        ``FRAME_TOO_LONG`` as soon as the length prefix exceeds the limit; ``BAD_FRAME`` for a
+        frame whose digest does not match.
 
     Examples
     --------
@@ -69,10 +69,10 @@
     buffer = bytearray()
     for chunk in chunks:
         buffer += chunk
-        yield from _take_whole(buffer, key)
+        yield from _pop_frames(buffer, key)
 
 
-def _take_whole(buffer: bytearray, key: bytes) -> Iterator[bytes]:
+def _pop_frames(buffer: bytearray, key: bytes) -> Iterator[bytes]:
     start = 0
     while len(buffer) - start >= _LENGTH.size:
         (length,) = _LENGTH.unpack_from(buffer, start)
--- a/src/gentianmux/handlers.py
+++ b/src/gentianmux/handlers.py
@@ -1,4 +1,4 @@
-"""What a process does with each kind of message."""
+"""Dispatch of received messages to the controllers."""
 
 from functools import singledispatch
 
@@ -38,19 +38,21 @@
 
 @singledispatch
 def handle(msg: Message, ctx: NodeContext, sender: str) -> None:
-    """Hand a message to the controller it is for; must not block.
+    """Dispatch a message to its controller; must not block.
 
     Parameters
     ----------
     msg : Message
-        What a peer sent.
+        Received message.
     ctx : NodeContext
-        The blackboard.
+        Shared context.
     sender : str
-        The process that sent it.
+        Process that sent it.
     """
     name = type(msg).__name__
-    logger.bind(code=int(ResultCode.BAD_FRAME)).warning("{} from {} is not handled", name, sender)
+    logger.bind(code=int(ResultCode.BAD_FRAME)).warning(
+        "no handler for message {} from {}", name, sender
+    )
 
 
 @handle.register
@@ -169,7 +171,7 @@
 
 
 def on_lost(process: str, conn: Conn, ctx: NodeContext) -> None:
-    """Tell the controllers that a connection closed."""
+    """Notify the controllers that a connection closed."""
     if ctx.is_agent:
         ctx.coordinator.on_lost(process, conn.opened, conn.refused)
     if ctx.identity.role != "agent":
--- a/src/gentianmux/http_errors.py
+++ b/src/gentianmux/http_errors.py
@@ -1,4 +1,4 @@
-"""What a call through the HTTP client library can fail with."""
+"""Exceptions raised by calls of the HTTP client library."""
 
 import gevent
 from geventhttpclient.response import HTTPParseError
--- a/src/gentianmux/http_server.py
+++ b/src/gentianmux/http_server.py
@@ -1,4 +1,4 @@
-"""The WSGI server behind every HTTP interface: no Nagle delay, bounded bodies and patience."""
+"""WSGI server with limits on time and body size, behind every HTTP interface."""
 
 from collections.abc import Callable
 from ssl import PROTOCOL_TLS_SERVER, SSLContext
@@ -15,17 +15,17 @@
 from .listeners import Listeners
 from .settings import Settings
 
-MAX_HEADER_LINE = 8192
+MAX_HEADER_LINE_BYTES = 8192
 
 
 class _Handler(pywsgi.WSGIHandler):
     def handle(self) -> None:
-        # Without this a keep-alive POST waits some 40 ms for a delayed acknowledgement.
+        # Otherwise a keep-alive POST waits for a delayed acknowledgement.
         self.socket.setsockopt(IPPROTO_TCP, TCP_NODELAY, 1)
         super().handle()
 
     def read_requestline(self) -> Any:
-        # A caller may idle between requests, but not in the middle of one.
+        # A caller may be idle between requests, but not within one.
         with gevent.Timeout(self.server.idle_s, False):
             return super().read_requestline()
         return ""
@@ -36,7 +36,7 @@
         return False
 
     def get_environ(self) -> dict[str, Any]:
-        # Applications that wait long watch the connection for a caller that leaves.
+        # Lets applications detect that the caller disconnected during a long wait.
         environ: dict[str, Any] = super().get_environ()
         environ["gentianmux.socket"] = self.socket
         return environ
@@ -46,25 +46,25 @@
 
     def log_error(self, msg: str, *args: Any) -> None:
         logger.bind(peer=str(self.client_address)).info(
-            "request not served: {}", msg % args if args else msg
+            "request rejected: {}", msg % args if args else msg
         )
 
 
 class HttpServer(pywsgi.WSGIServer):
-    """Serves a WSGI application on an IP number and port.
+    """Serves a WSGI application at an IP address and port.
 
     Parameters
     ----------
     address : str
         ``ip:port``.
     app : callable
-        The application.
+        WSGI application.
     cfg : Settings
-        Bounds and, for callers' connections, TLS.
+        Limits and TLS certificate.
     tls : bool
-        Whether to use the certificate of the settings, if they name one.
+        Whether to use the certificate of the settings, if there is one.
     listeners : Listeners, optional
-        Addresses that are open already.
+        Sockets that are already listening.
     """
 
     def __init__(
@@ -96,18 +96,18 @@
         )
 
     def reload_certificate(self) -> None:
-        """Read the certificate and key again; open connections keep the old ones."""
+        """Reload the certificate and key; open connections keep the old ones."""
         if self._context is not None:
             self._context.load_cert_chain(self._cfg.tls_cert, self._cfg.tls_key)
 
 
 def read_body(environ: dict[str, Any], cfg: Settings) -> bytes:
-    """Read a request's body within the bounds on size and time.
+    """Read a request's body within the limits on size and time.
 
     Raises
     ------
     GentianmuxError
-        ``BODY_TOO_LARGE`` or ``BODY_TIMEOUT``.
+        ``BODY_TOO_LARGE``, ``BODY_TIMEOUT`` or ``BAD_HEADER``.
     """
     limit = cfg.max_body_kb * 1024
     try:
--- a/src/gentianmux/ids.py
+++ b/src/gentianmux/ids.py
@@ -1,4 +1,4 @@
-"""Ids of jobs: their checks, their time, and the shard each belongs to."""
+"""Job ids: validation, embedded time and shard."""
 
 import re
 import uuid
@@ -9,21 +9,27 @@
 from .errors import GentianmuxError
 
 NO_TIME = -1
-MAX_ID = 128
+MAX_ID_CHARS = 128
 _ID = re.compile(r"[\x21-\x7e]{1,128}\Z")
 _UUID7 = re.compile(r"[0-9a-f]{8}-[0-9a-f]{4}-7[0-9a-f]{3}-[89ab][0-9a-f]{3}-[0-9a-f]{12}\Z")
 
 
-def check_id(value: object) -> str:
-    """Return a job's id, or raise ``BAD_ID``."""
+def validate_id(value: object) -> str:
+    """Return a valid job id.
+
+    Raises
+    ------
+    GentianmuxError
+        ``BAD_ID`` for any other value.
+    """
     if not isinstance(value, str) or not _ID.match(value):
-        problem = f"an id is 1 to {MAX_ID} printable ASCII characters without spaces"
+        problem = f"an id is 1 to {MAX_ID_CHARS} printable ASCII characters without spaces"
         raise GentianmuxError(ResultCode.BAD_ID, problem)
     return value
 
 
 def new_id(now_ms: int, random_bits: int) -> str:
-    """Make a UUID of version 7 (RFC 9562), whose first 48 bits are a time.
+    """Create a UUID of version 7 (RFC 9562), whose first 48 bits are a Unix time in ms.
 
     Parameters
     ----------
@@ -38,23 +44,23 @@
     return str(uuid.UUID(int=value))
 
 
-def time_of(job_id: str) -> int:
-    """Unix time in ms that an id carries, or ``NO_TIME``."""
+def id_time_ms(job_id: str) -> int:
+    """Unix time in ms embedded in a UUID of version 7; ``NO_TIME`` for other ids."""
     if not _UUID7.match(job_id.lower()):
         return NO_TIME
     return uuid.UUID(job_id).int >> 80
 
 
 def job_key(member: str, job_id: str) -> str:
-    """The key of a job: ids of two members never meet."""
+    """Key of a job, unique across members."""
     return f"{member}/{job_id}"
 
 
 def shard_of(key: str, shard_count: int) -> int:
-    """The shard that a key belongs to."""
+    """Shard number of a key."""
     return int(xxhash.xxh3_64_intdigest(key.encode())) % shard_count
 
 
 def fingerprint(key: str) -> int:
-    """A key in 64 bits, for ids that are only remembered as seen."""
+    """64-bit hash of a key, for ids that are only recorded as seen."""
     return int(xxhash.xxh3_64_intdigest(key.encode(), seed=1))
--- a/src/gentianmux/job.py
+++ b/src/gentianmux/job.py
@@ -1,4 +1,4 @@
-"""A job as its coordinator sees it: each task's state, who waits, and what was decided."""
+"""State of a job at its coordinator: tasks, waiters and the decision trail."""
 
 import json
 from collections import deque
@@ -8,12 +8,12 @@
 
 from .codes import Ran, ResultCode
 from .messages import Submit, Task, TaskResult
-from .submission import TaskSpec, needs_of
+from .submission import TaskSpec, combined_needs
 
-MAX_TRAIL = 40
+MAX_TRAIL_STEPS = 40
 MAX_REFUSALS = 20
-SHORT_MS = 20
-NOT_RUN_RETRY = frozenset(
+SHORT_TASK_MS = 20
+RETRYABLE_REFUSALS = frozenset(
     {
         ResultCode.QUEUE_FULL,
         ResultCode.DRAINING,
@@ -25,7 +25,7 @@
 
 
 class Phase(Enum):
-    """Where a task stands."""
+    """Phase of a task at its coordinator."""
 
     WAITING = "waiting"
     SENT = "sent"
@@ -40,20 +40,23 @@
 
 
 class Waiter(NamedTuple):
-    """Who waits for an answer: the process, and its number for the request."""
+    """Process that waits for an answer, and its request number."""
 
     process: str
     request: int
 
 
 class TaskView:
-    """One task: its phase, the agent it was sent to, and how it ended."""
+    """State of one task: its phase, the agent it was sent to, and its outcome.
+
+    ``may_have_arrived`` is set once the task's frame may have left for the agent.
+    """
 
     __slots__ = (
         "agent",
         "attempt",
         "code",
-        "left",
+        "may_have_arrived",
         "output",
         "phase",
         "ran_ms",
@@ -67,7 +70,7 @@
         self.refusals = 0
         self.phase = Phase.WAITING
         self.agent = ""
-        self.left = False
+        self.may_have_arrived = False
         self.code = ResultCode.TASK_NOT_RUN
         self.output = ""
         self.ran_ms = 0.0
@@ -81,13 +84,13 @@
     msg : Submit
         The submission that was admitted.
     shard, epoch : int
-        Under which the job is coordinated.
-    specs : list get_or_add TaskSpec
+        Shard of the job and epoch of its owner.
+    specs : list of TaskSpec
         Its tasks.
     now : float
         Monotonic time in seconds.
     attempt : int
-        First attempt number; above 0 when an earlier run was proved not to have begun.
+        First attempt number; above 0 if an earlier admission provably started nothing.
     """
 
     def __init__(
@@ -109,42 +112,42 @@
         self.epoch = epoch
         self.tasks = [TaskView(spec, attempt) for spec in specs]
         self.waiting = deque(longest_first(specs))
-        self.needs = needs_of(specs)
-        self._longest_ms = _longest_ms(specs)
+        self.needs = combined_needs(specs)
+        self._max_run_ms = _max_run_ms(specs)
         self.reserved: dict[str, int] = {}
-        self.reserved_at = now
-        self.open = len(specs)
+        self.reservations_sent_at = now
+        self.open_count = len(specs)
         self.waiters: set[Waiter] = set()
-        self.began = now
+        self.admitted_at = now
         self.no_agent_since: float | None = None
         self.cancelled = False
         self.trail: list[TrailStep] = []
 
-    def note(self, now: float, text: str) -> None:
-        """Add a step to the decision trail, which is bounded."""
-        if len(self.trail) < MAX_TRAIL:
-            self.trail.append(TrailStep(round((now - self.began) * 1000, 1), text))
+    def add_trail_step(self, now: float, text: str) -> None:
+        """Add a step to the decision trail, up to ``MAX_TRAIL_STEPS``."""
+        if len(self.trail) < MAX_TRAIL_STEPS:
+            self.trail.append(TrailStep(round((now - self.admitted_at) * 1000, 1), text))
 
-    def sent_to(self, agent: str) -> list[int]:
-        """Tasks that are at an agent."""
+    def tasks_at(self, agent: str) -> list[int]:
+        """Indexes of the tasks sent to an agent."""
         return [
             index
             for index, task in enumerate(self.tasks)
             if task.phase is Phase.SENT and task.agent == agent
         ]
 
-    def take_waiting(self, agents: list[str]) -> dict[str, list[int]]:
-        """Send waiting tasks to agents, in order, and return each agent's share."""
+    def assign_waiting(self, agents: list[str]) -> dict[str, list[int]]:
+        """Assign waiting tasks to agents, in order, and return the indexes by agent."""
         shares: dict[str, list[int]] = {}
         for agent in agents:
             index = self.waiting.popleft()
             task = self.tasks[index]
-            task.phase, task.agent, task.left = Phase.SENT, agent, False
+            task.phase, task.agent, task.may_have_arrived = Phase.SENT, agent, False
             shares.setdefault(agent, []).append(index)
         return shares
 
     def wire_tasks(self, indexes: list[int]) -> list[Task]:
-        """Tasks in the form of a start frame."""
+        """Convert tasks to messages for a ``StartBatch``."""
         views = ((index, self.tasks[index]) for index in indexes)
         return [
             Task(index, view.attempt, view.spec.payload, view.spec.size.run_ms)
@@ -152,23 +155,23 @@
         ]
 
     def accept(self, result: TaskResult, agent: str) -> bool:
-        """Take in a result; false when it is late, repeated or for another attempt."""
+        """Apply a result; false if it is late, duplicate or of an older attempt."""
         if result.number >= len(self.tasks):
             return False
         task = self.tasks[result.number]
         if task.phase is not Phase.SENT or task.agent != agent or result.attempt < task.attempt:
             return False
         code = ResultCode(result.code)
-        if code in NOT_RUN_RETRY and task.refusals < MAX_REFUSALS and not self.cancelled:
+        if code in RETRYABLE_REFUSALS and task.refusals < MAX_REFUSALS and not self.cancelled:
             task.refusals += code is not ResultCode.NO_SLOT
-            self.put_back(result.number)
+            self.requeue(result.number)
             return True
         task.output, task.ran_ms = result.output, result.ran_ms
-        self.end(result.number, ResultCode.TASK_NOT_RUN if code in NOT_RUN_RETRY else code)
+        self.end(result.number, ResultCode.TASK_NOT_RUN if code in RETRYABLE_REFUSALS else code)
         return True
 
-    def put_back(self, index: int) -> None:
-        """Let a task wait again, on proof that it did not start."""
+    def requeue(self, index: int) -> None:
+        """Requeue a task that provably did not start, as a new attempt."""
         task = self.tasks[index]
         task.phase, task.agent = Phase.WAITING, ""
         task.attempt += 1
@@ -176,21 +179,21 @@
 
     @property
     def is_short(self) -> bool:
-        """Whether all tasks are declared to last about as long as a round trip."""
-        return self._longest_ms is not None and self._longest_ms <= SHORT_MS
+        """Whether all tasks declare a run time of at most ``SHORT_TASK_MS``."""
+        return self._max_run_ms is not None and self._max_run_ms <= SHORT_TASK_MS
 
-    def work_left_ms(self) -> int:
-        """Declared work that has not been sent."""
+    def unassigned_work_ms(self) -> int:
+        """Declared run time of the waiting tasks, in ms."""
         return sum(self.tasks[index].spec.size.run_ms for index in self.waiting)
 
     def end(self, index: int, code: ResultCode) -> None:
-        """End a task."""
+        """End a task with a result code."""
         task = self.tasks[index]
         task.phase, task.code = Phase.ENDED, code
-        self.open -= 1
+        self.open_count -= 1
 
     def end_waiting(self, code: ResultCode) -> None:
-        """End every task that waits here and was never sent, or came back unstarted."""
+        """End every waiting task; none of them has started."""
         while self.waiting:
             self.end(self.waiting.popleft(), code)
 
@@ -199,7 +202,7 @@
         return {task.agent for task in self.tasks if task.phase is Phase.SENT}
 
     def outcome(self) -> ResultCode:
-        """The job's code once every task has ended."""
+        """Result code of the job once every task has ended."""
         codes = {task.code for task in self.tasks}
         if codes == {ResultCode.OK}:
             return ResultCode.OK
@@ -210,11 +213,11 @@
         return ResultCode.JOB_FAILED
 
     def never_ran(self) -> bool:
-        """Whether every task is proved not to have started."""
+        """Whether every task provably did not start."""
         return all(not may_have_run(task.code) for task in self.tasks)
 
     def answer(self, now: float) -> bytes:
-        """The answer for callers: all outputs when complete, else each task's status alone."""
+        """Answer as JSON: all outputs if complete, otherwise only the status of each task."""
         code = self.outcome()
         complete = code is ResultCode.OK
         content = {
@@ -223,13 +226,13 @@
             "name": code.label,
             "complete": complete,
             "ran": self._ran().value,
-            "response_ms": round((now - self.began) * 1000, 2),
+            "response_ms": round((now - self.admitted_at) * 1000, 2),
             "tasks": list(_statuses(self.tasks, complete)),
         }
         return json.dumps(content).encode()
 
     def explanation(self, coordinator: str) -> bytes:
-        """The decision trail as JSON."""
+        """Decision trail as JSON."""
         content = {
             "key": self.key,
             "coordinator": coordinator,
@@ -246,20 +249,20 @@
         return Ran.UNKNOWN if unknown else Ran.YES
 
 
-def _longest_ms(specs: list[TaskSpec]) -> int | None:
-    """The longest declared run time; None when any task declares none."""
+def _max_run_ms(specs: list[TaskSpec]) -> int | None:
+    """Longest declared run time in ms; None if any task declares none."""
     declared = [spec.size.run_ms for spec in specs]
     return max(declared) if all(declared) else None
 
 
 def longest_first(specs: list[TaskSpec]) -> list[int]:
-    """Order in which tasks are placed: a job ends no sooner than its longest task."""
+    """Task indexes by descending run time, since the longest task bounds the job's end."""
     return sorted(range(len(specs)), key=lambda number: -specs[number].size.run_ms)
 
 
 _NOT_STARTED = frozenset(
     {
-        *NOT_RUN_RETRY,
+        *RETRYABLE_REFUSALS,
         ResultCode.TASK_NOT_RUN,
         ResultCode.CANCELLED,
         ResultCode.DEADLINE_PASSED,
--- a/src/gentianmux/json_reply.py
+++ b/src/gentianmux/json_reply.py
@@ -1,4 +1,4 @@
-"""Writes a JSON answer of a WSGI application."""
+"""JSON responses of WSGI applications."""
 
 import json
 from collections.abc import Callable, Iterable
@@ -11,16 +11,16 @@
 def json_reply(
     start_response: StartResponse, status: int, content: dict[str, Any]
 ) -> Iterable[bytes]:
-    """Begin the response and return its body.
+    """Start a JSON response and return its body.
 
     Parameters
     ----------
     start_response : callable
-        As WSGI hands it to an application.
+        WSGI ``start_response`` callable.
     status : int
-        HTTP status.
+        HTTP status code.
     content : dict
-        What the body holds.
+        Content of the body.
     """
     data = json.dumps(content).encode()
     headers = [("Content-Type", "application/json"), ("Content-Length", str(len(data)))]
--- a/src/gentianmux/limits.py
+++ b/src/gentianmux/limits.py
@@ -1,4 +1,4 @@
-"""Bounds on what one member may have in work at an entry, and how fast it may send."""
+"""Concurrency and rate limits per member at an entry."""
 
 from collections import Counter
 from random import Random
@@ -8,21 +8,23 @@
 from .errors import GentianmuxError
 from .settings import Settings
 
-MEMBER_PART = 2
+MAX_MEMBER_SHARE_DIVISOR = 2
 RETRY_AFTER_MS = 1000
 
 
 class MemberLimits:
-    """Refuses early, before anything is asked, so that a refusal is surely not run.
+    """Limits the requests in flight and the request rate of each member.
+
+    Requests are refused before any owner is asked, so a refused request has provably not run.
 
     Parameters
     ----------
     cfg : Settings
-        ``max_inflight`` bounds the entry; one member may take half of it.
+        ``max_inflight`` limits the entry; one member can use half of it.
     config : ConfigState
-        Members' rates.
+        Configured request rates of members.
     rng : Random
-        Spreads the advice on when to come back.
+        Random source for jitter in ``retry_after_ms``.
 
     Examples
     --------
@@ -40,25 +42,25 @@
         self._tokens: dict[str, tuple[float, float]] = {}
 
     def acquire(self, member: str, now: float, entries: int) -> None:
-        """Count a request in, or refuse it.
+        """Admit a request, or raise an error.
 
         Parameters
         ----------
         member : str
-            Whose request it is.
+            Member that sent the request.
         now : float
             Monotonic time in seconds.
         entries : int
-            Live entries, among which a member's rate is split.
+            Number of live entries, among which a member's rate is divided.
 
         Raises
         ------
         GentianmuxError
-            ``OVERLOADED``, ``QUEUE_FULL`` or ``RATE_LIMITED``, with advice on when to come back.
+            ``OVERLOADED``, ``QUEUE_FULL`` or ``RATE_LIMITED``, with ``retry_after_ms`` set.
         """
         if self._total >= self._cfg.max_inflight:
             raise self._refusal(ResultCode.OVERLOADED)
-        if self._inflight[member] >= max(1, self._cfg.max_inflight // MEMBER_PART):
+        if self._inflight[member] >= max(1, self._cfg.max_inflight // MAX_MEMBER_SHARE_DIVISOR):
             raise self._refusal(ResultCode.QUEUE_FULL)
         if not self._take_token(member, now, entries):
             raise self._refusal(ResultCode.RATE_LIMITED)
@@ -66,7 +68,7 @@
         self._total += 1
 
     def release(self, member: str) -> None:
-        """Count a request out."""
+        """Release an admitted request."""
         self._inflight[member] -= 1
         self._total -= 1
 
--- a/src/gentianmux/listeners.py
+++ b/src/gentianmux/listeners.py
@@ -1,29 +1,27 @@
-"""Sockets that listen before the servers that will accept from them exist."""
+"""Listening sockets opened before the servers that accept from them."""
 
 import socket
 from collections.abc import Iterable
 from typing import Any
 
 BACKLOG = 1024
-"""Connections that may wait at an address: ten times the callers of a busy entry."""
 
 
 class Listeners:
-    """Addresses at which a process listens from its first moment on.
+    """Sockets that listen from process start on.
 
     Connections made while the rest of the program is imported wait in the kernel instead of being
-    refused; a caller that is refused comes again only after a pause. Entries that restart listen
-    0.2 s after their process has begun instead of 0.7 s, on half a core.
+    refused, so that callers need no retry while an entry restarts.
 
     Parameters
     ----------
-    addresses : iterable get_or_add str
-        ``ip:port`` of each.
+    addresses : iterable of str
+        Addresses as ``ip:port``.
 
     Raises
     ------
     OSError
-        When an address cannot be had.
+        If an address cannot be bound.
 
     Examples
     --------
@@ -35,14 +33,14 @@
         self._open = {address: _listen(address) for address in addresses}
 
     def take(self, address: str) -> Any:
-        """What a gevent server listens with: the open socket, else the address to bind."""
-        listening = self._open.pop(address, None)
-        if listening is None:
+        """Return the listener for a gevent server: the open socket, or the address to bind."""
+        sock = self._open.pop(address, None)
+        if sock is None:
             return _ip_and_port(address)
-        # Imported late: this module is used before anything else is loaded.
+        # Imported here, since this module must load before gevent.
         from gevent.socket import socket as GeventSocket
 
-        return GeventSocket(fileno=listening.detach())
+        return GeventSocket(fileno=sock.detach())
 
 
 def _ip_and_port(address: str) -> tuple[str, int]:
@@ -51,8 +49,8 @@
 
 
 def _listen(address: str) -> socket.socket:
-    listening = socket.socket()
-    listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    listening.bind(_ip_and_port(address))
-    listening.listen(BACKLOG)
-    return listening
+    sock = socket.socket()
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    sock.bind(_ip_and_port(address))
+    sock.listen(BACKLOG)
+    return sock
--- a/src/gentianmux/messages.py
+++ b/src/gentianmux/messages.py
@@ -1,4 +1,7 @@
-"""The typed messages that gentianmux processes send each other."""
+"""Messages between gentianmux processes.
+
+Class and field names match ``schema.capnp``.
+"""
 
 from enum import IntEnum
 from typing import NamedTuple
@@ -7,7 +10,7 @@
 
 
 class Hello(NamedTuple):
-    """First frame on a connection: who speaks, and which protocol version."""
+    """First frame on a connection: the sender and its protocol version."""
 
     version: int
     process: str
@@ -16,10 +19,10 @@
 
 
 class Submit(NamedTuple):
-    """A job or single request on its way from an entry to the owner of its shard.
+    """A job or single request, sent by an entry to the owner of its shard.
 
-    ``submitted_ms`` is the caller's time of first submission (Unix ms, -1 when it gave none);
-    ``deadline_ms`` is Unix time in ms, -1 for none; ``request`` comes back in the answer.
+    ``submitted_ms`` is the caller's time of first submission and ``deadline_ms`` the deadline,
+    both in Unix ms and -1 for none. ``request`` is returned in the answer.
     """
 
     request: int
@@ -35,7 +38,7 @@
 
 
 class Answer(NamedTuple):
-    """What the owner says of a key; ``final`` tells whether more will follow."""
+    """Owner's answer for a key; ``final`` is false if another answer follows."""
 
     request: int
     key: str
@@ -47,7 +50,7 @@
 
 
 class Query(NamedTuple):
-    """Ask the owner for the answer of a key, or for its state when not to wait."""
+    """Query the owner for the answer of a key; without ``wait``, for its current state."""
 
     request: int
     key: str
@@ -55,14 +58,14 @@
 
 
 class Cancel(NamedTuple):
-    """Ask the owner to cancel a job."""
+    """Request to the owner to cancel a job."""
 
     request: int
     key: str
 
 
 class Task(NamedTuple):
-    """One task of a job; ``attempt`` grows with each retry on proof that it did not start."""
+    """One task of a job; ``attempt`` is incremented when it provably did not start."""
 
     number: int
     attempt: int
@@ -71,14 +74,18 @@
 
 
 class Explain(NamedTuple):
-    """Ask the owner how a job was decided."""
+    """Request to the owner for the decision trail of a job."""
 
     request: int
     key: str
 
 
 class StartHow(IntEnum):
-    """What an agent without a free slot does with tasks."""
+    """What an agent does with tasks when it has no free slot.
+
+    ``QUEUE`` queues them, ``BOUNCE`` refuses them and reserves a slot, and ``OFFERED`` uses a slot
+    that the agent has offered.
+    """
 
     QUEUE = 0
     BOUNCE = 1
@@ -86,10 +93,10 @@
 
 
 class StartBatch(NamedTuple):
-    """One agent's whole share of a job's tasks.
+    """All tasks of a job that are sent to one agent.
 
-    ``eager`` asks for each result at once; ``how`` is a ``StartHow``, and ``offer`` the number
-    of the offer that ``OFFERED`` takes up.
+    ``eager`` requests results before the last task ends. ``how`` is a ``StartHow``; ``offer`` is
+    the number of the accepted offer for ``OFFERED``.
     """
 
     key: str
@@ -106,7 +113,7 @@
 
 
 class Reserve(NamedTuple):
-    """Ask an agent to offer slots for a job's waiting tasks, in their member's turn."""
+    """Request to an agent to reserve slots for waiting tasks, in the member's queue."""
 
     key: str
     epoch: int
@@ -117,20 +124,20 @@
 
 
 class Offer(NamedTuple):
-    """An agent holds a free slot for a job's coordinator, under a number of its own."""
+    """Offer of a free slot to a job's coordinator; ``number`` is unique at the agent."""
 
     key: str
     number: int
 
 
 class Decline(NamedTuple):
-    """The coordinator has no task for an offered slot."""
+    """Rejection of an offered slot for which the coordinator has no task."""
 
     number: int
 
 
 class TaskResult(NamedTuple):
-    """How one task ended at an agent."""
+    """Result of one task at an agent."""
 
     number: int
     attempt: int
@@ -150,20 +157,20 @@
 
 
 class Revoke(NamedTuple):
-    """Take back all tasks of these keys that have not started and stop those that have."""
+    """Request to drop queued tasks of these keys and to stop running ones."""
 
     keys: list[str]
 
 
 class ShardLease(NamedTuple):
-    """A shard and the offset of its newest record, which both sides of a lease must share."""
+    """A shard and the offset of its newest record, on which both sides of a lease must agree."""
 
     shard: int
     base: int
 
 
 class LeaseRequest(NamedTuple):
-    """An owner asks its heir to renew; ``sent`` is the owner's monotonic clock."""
+    """Owner's request to its heir to renew leases; ``sent`` is the owner's monotonic time."""
 
     process: str
     sent: float
@@ -171,7 +178,7 @@
 
 
 class LeaseGrant(NamedTuple):
-    """The heir's grant; echoes ``sent`` so that the owner counts from its own send time."""
+    """Heir's grant; echoes ``sent``, so that the lease runs from the owner's send time."""
 
     process: str
     sent: float
@@ -179,7 +186,7 @@
 
 
 class TraceQuery(NamedTuple):
-    """A new owner asks what is known of keys, and thereby fences older epochs."""
+    """New owner's query for traces of keys; also fences older epochs."""
 
     query: int
     shard: int
@@ -188,7 +195,7 @@
 
 
 class Trace(NamedTuple):
-    """What an agent holds of a key: tasks that run now, and results of those that ended."""
+    """An agent's records of a key: running tasks, and results of ended ones."""
 
     key: str
     running: list[int]
@@ -196,7 +203,7 @@
 
 
 class TraceReply(NamedTuple):
-    """Traces found; what started before ``forgotten_ms`` may have been forgotten (0: nothing)."""
+    """Traces found; records of starts before ``forgotten_ms`` may be gone (0: none)."""
 
     query: int
     process: str
@@ -205,7 +212,7 @@
 
 
 class LedgerEntry(NamedTuple):
-    """One ended job in a ledger that moves to a new owner."""
+    """One ended job in a ledger handover."""
 
     key: str
     digest: bytes
@@ -215,9 +222,9 @@
 
 
 class LedgerHandover(NamedTuple):
-    """A part of a shard's ledger on its way to the owner that a planned move names.
+    """Part of a shard's ledger, sent to the next owner in a planned move.
 
-    ``move`` numbers the owner's tries, so that a late reply to an earlier one counts for nothing.
+    ``move`` numbers the attempts, so that a late reply to an earlier one is ignored.
     """
 
     shard: int
@@ -233,7 +240,7 @@
 
 
 class HandoverReply(NamedTuple):
-    """Whether the target of a planned move holds the ledger now."""
+    """Reply to a ledger handover; ``taken`` is true if the ledger was accepted."""
 
     shard: int
     base: int
@@ -242,19 +249,19 @@
 
 
 class Farewell(NamedTuple):
-    """A leaving agent asks to be told when no task of the receiver is left with it."""
+    """Shutdown notice of an agent; the receiver replies once it has no task there."""
 
     process: str
 
 
 class FarewellReply(NamedTuple):
-    """The receiver has no task at the leaving agent, and will send it none."""
+    """Reply to a shutdown notice: the sender has no task at the agent and sends none."""
 
     process: str
 
 
 class EndedJob(NamedTuple):
-    """What a leaving agent knows of one job's tasks that ended there."""
+    """Start records of one job at an agent that shuts down."""
 
     key: str
     shard: int
@@ -264,7 +271,7 @@
 
 
 class RecordsHandover(NamedTuple):
-    """A part of a leaving agent's start records, for another agent to answer from."""
+    """Part of the start records of an agent that shuts down."""
 
     process: str
     forgotten_ms: int
@@ -273,27 +280,27 @@
 
 
 class RecordsReply(NamedTuple):
-    """The receiver holds all start records of the leaving agent."""
+    """Acknowledgement that all start records have been received."""
 
     process: str
 
 
 class StatePull(NamedTuple):
-    """Ask a peer for what it has read of a stream beyond ``version``."""
+    """Request to a peer for records of a stream after ``version``."""
 
     stream: str
     version: int
 
 
 class LogRecord(NamedTuple):
-    """A record of the platform's log, handed on by a peer."""
+    """Record of the platform's log, relayed by a peer."""
 
     offset: int
     data: str
 
 
 class StateBody(NamedTuple):
-    """What a peer has read: the records asked for, or a snapshot when they are not at hand."""
+    """Reply to ``StatePull``: records, or a snapshot if the peer no longer has them."""
 
     stream: str
     version: int
@@ -302,7 +309,7 @@
 
 
 class MemberUpdate(NamedTuple):
-    """What gossip says of one process; the higher ``counter`` is the newer word."""
+    """Membership state of one process; a higher ``counter`` is newer."""
 
     process: str
     name: str
@@ -317,7 +324,7 @@
 
 
 class Gossip(NamedTuple):
-    """One membership datagram: a probe, its answer, or a request to probe a third process."""
+    """Membership datagram: a probe, an acknowledgement, or an indirect probe request."""
 
     kind: int
     seq: int
@@ -329,9 +336,9 @@
 
 
 class LeasedTask(NamedTuple):
-    """One run of a task for an agent to start; resources as in ``leased.room.Resources``.
+    """One run of a task to start; units of resources as in ``leased.resources.Resources``.
 
-    ``payload`` is the number of its payload among those of its assignment.
+    ``payload`` is the index of its payload in the assignment.
     """
 
     name: str
@@ -344,11 +351,11 @@
 
 
 class Claim(NamedTuple):
-    """Runs of one urgency that wait at an entry for room.
+    """Demand of runs of one urgency that wait at an entry.
 
-    ``cpu``, ``mem_mb`` and ``gpu`` are what they take together, ``least_cpu`` what the smallest of
-    them takes. ``late`` tells that they will be late anyway, ``begun`` that others of their jobs
-    are at work, ``begin_in_ms`` how soon the most urgent has to begin.
+    ``cpu``, ``mem_mb`` and ``gpu`` are totals; ``least_cpu`` is the demand of the smallest run.
+    ``late`` marks runs that will miss their deadline anyway, ``begun`` runs whose jobs have
+    started. ``begin_in_ms`` is the time until the most urgent run must start.
     """
 
     cpu: int
@@ -362,11 +369,11 @@
 
 
 class Assign(NamedTuple):
-    """An entry hands runs to an agent.
+    """Assignment of runs to an agent.
 
-    ``echo`` is the newest load report that the entry has seen of the agent; ``number`` counts
-    the entry's assignments to it, and comes back as ``AgentLoad.applied``. ``claims`` is what
-    still waits. ``payloads`` holds each job's payload once, of up to 4,000 bytes.
+    ``echo`` is the number of the last load report received from the agent. ``number`` counts
+    assignments to the agent and is acknowledged by ``AgentLoad.applied``. ``claims`` is the
+    remaining demand. ``payloads`` holds each job's payload once, of up to 4,000 bytes.
     """
 
     echo: int
@@ -377,20 +384,20 @@
 
 
 class RunRef(NamedTuple):
-    """Names one run of a task."""
+    """Reference to one run of a task."""
 
     task: str
     run: int
 
 
 class Withdraw(NamedTuple):
-    """An entry no longer wants these runs."""
+    """Withdrawal of runs that an entry no longer needs."""
 
     runs: list[RunRef]
 
 
 class EndedRun(NamedTuple):
-    """How one run left an agent; ``how`` is a ``leased.model.RunOutcome``."""
+    """Outcome of one run at an agent; ``how`` is a ``leased.model.RunOutcome``."""
 
     number: int
     task: str
@@ -400,23 +407,23 @@
 
 
 class EndedRuns(NamedTuple):
-    """Runs that have left an agent, sent again on each new connection until acknowledged."""
+    """Ended runs of an agent, resent on each new connection until acknowledged."""
 
     runs: list[EndedRun]
 
 
 class Holding(NamedTuple):
-    """All runs that an agent holds for an entry, said when a connection opens."""
+    """All runs that an agent holds for an entry, sent when a connection opens."""
 
     applied: int
     runs: list[RunRef]
 
 
 class AgentLoad(NamedTuple):
-    """An agent's numbered load report: the room it offers, after assignment ``applied``.
+    """Numbered load report of an agent: the resources it offers after assignment ``applied``.
 
-    ``entries`` is how many entries share the agent at present, and ``longest_ms`` the longest
-    estimate of a run that it still begins; an agent that was told to stop begins short ones alone.
+    ``entries`` is the number of entries that share the agent. ``longest_ms`` is the longest
+    estimate of a run that it still starts; an agent that shuts down starts only short ones.
     """
 
     number: int
@@ -431,11 +438,11 @@
 
 
 class LoadEcho(NamedTuple):
-    """The newest load report that an entry has seen of the agent, and its configuration.
+    """Acknowledgement of an agent's last load report, with the entry's demand.
 
-    ``claims`` is what waits there for room, most urgent first: the agent grants room to it.
-    ``gives_back`` tells that none of it fits into what was granted. ``seen`` is the newest ended
-    run that the entry has taken in: acknowledged here, ends take no frames of their own.
+    ``claims`` is the demand that waits at the entry, most urgent first, for which the agent grants
+    resources. ``gives_back`` is true if none of it fits the granted resources. ``seen`` is the
+    number of the last ended run received, acknowledged here to save frames.
     """
 
     number: int
@@ -446,9 +453,9 @@
 
 
 class EndpointState(NamedTuple):
-    """The endpoint beside an agent, and whether the agent starts anything there.
+    """The endpoint of an agent, and whether the agent starts runs there.
 
-    ``born`` is when the endpoint started, in Unix milliseconds; 0 when it is not told.
+    ``born`` is the start time of the endpoint in Unix ms; 0 if unknown.
     """
 
     endpoint: str
@@ -463,15 +470,15 @@
 
     @property
     def incarnation(self) -> str:
-        """Names one life of the endpoint: what is held against it ends when it starts again."""
+        """Name of this incarnation of the endpoint; changes when the endpoint restarts."""
         return f"{self.endpoint}@{self.born}" if self.born else self.endpoint
 
 
 class Evacuated(NamedTuple):
-    """The failure domains that operators evacuate; the account with the higher position is newer.
+    """Failure domains evacuated by operators; a higher ``position`` is newer.
 
-    Sent when a connection opens and when others are evacuated, by entries and agents alike, so that
-    it also reaches those that the store turns away.
+    Sent by entries and agents when a connection opens and on each change, so that it also reaches
+    processes that cannot read the store.
     """
 
     position: int
@@ -479,14 +486,14 @@
 
 
 class ConfigWanted(NamedTuple):
-    """Asks a peer for a piece of its configuration, from ``offset`` of what is packed."""
+    """Request to a peer for part of its packed configuration, starting at ``offset`` bytes."""
 
     version: int
     offset: int
 
 
 class ConfigPiece(NamedTuple):
-    """A piece of the operators' configuration, packed; ``size`` is that of the whole."""
+    """Part of the packed configuration; ``size`` is the total in bytes."""
 
     version: int
     offset: int
--- a/src/gentianmux/peers.py
+++ b/src/gentianmux/peers.py
@@ -1,4 +1,4 @@
-"""Connections between gentianmux processes, over TCP by IP number."""
+"""TCP connections between gentianmux processes."""
 
 import errno
 from collections.abc import Callable, Iterator
@@ -24,14 +24,14 @@
 
 
 class Peers:
-    """Sends messages to processes by name and hands on what they send.
+    """Sends messages to processes by name and passes received ones to a handler.
 
     Parameters
     ----------
     ctx : NodeContext
-        The blackboard; this puts itself there as ``peers``.
+        Shared context; the new object registers itself there as ``peers``.
     handle : callable
-        Called with each message, the board and the sending process; must not block.
+        Called with each message, the context and the sending process; must not block.
     on_lost : callable
         Called with a process and the closed connection.
 
@@ -54,7 +54,7 @@
         self._server = StreamServer((ip, int(port)), self._serve)
 
     def start(self) -> None:
-        """Begin to listen; raises ``OSError`` when the address is taken."""
+        """Start listening; raises ``OSError`` if the address is in use."""
         self._server.start()
 
     def stop(self) -> None:
@@ -69,8 +69,7 @@
         Returns
         -------
         bool
-            False when it certainly does not leave: the process is not known, or its connection
-            cannot take more.
+            False if it will certainly not be sent: the process is unknown, or its outbox is full.
         """
         if process == self._ctx.process:
             self._ctx.clock.call_soon(self._handle, msg, self._ctx, process)
@@ -84,11 +83,11 @@
         return conn.enqueue(frame)
 
     def is_connected(self, process: str) -> bool:
-        """Whether a connection to a process is open or being opened."""
+        """Whether a connection to a process is open or connecting."""
         return process in self._conns
 
     def ensure_connected(self, process: str) -> None:
-        """Connect to a process if there is no connection, to learn whether it is there."""
+        """Connect to a process unless connected, to find out whether it is alive."""
         if process != self._ctx.process and process not in self._conns:
             self._dial(process)
 
@@ -105,7 +104,7 @@
         chunks = self._connect(conn)
         if chunks is not None:
             self._run(conn, chunks)
-        self._lose(conn)
+        self._on_closed(conn)
 
     def _connect(self, conn: Conn) -> Iterator[bytes] | None:
         ip, _, port = conn.address.partition(":")
@@ -123,7 +122,7 @@
                 hello = _expect_hello(frames)
         except (gevent.Timeout, OSError, FrameError):
             return None
-        # A later process at the same address proves that the one meant has ended.
+        # Another process at the address proves that the expected one has ended.
         conn.refused = hello.process != conn.process
         return None if conn.refused else frames
 
@@ -138,14 +137,14 @@
                 hello = _expect_hello(frames)
                 sock.sendall(pack_frame(encode(self._hello()), self._key))
         except (gevent.Timeout, OSError, FrameError) as exc:
-            self._note_bad(exc)
+            self._record_error(exc)
             self._open.discard(conn)
             sock.close()
             return
         conn.process, conn.address = hello.process, hello.address
         self._conns.setdefault(conn.process, conn)
         self._run(conn, frames)
-        self._lose(conn)
+        self._on_closed(conn)
 
     def _run(self, conn: Conn, frames: Iterator[bytes]) -> None:
         conn.open()
@@ -157,19 +156,19 @@
                 self._ctx.metrics.count("frames_in", label=type(msg).__name__)
                 self._handle(msg, self._ctx, conn.process)
         except (OSError, FrameError) as exc:
-            self._note_bad(exc)
+            self._record_error(exc)
         finally:
             conn.close()
             writer.kill(block=False)
 
-    def _lose(self, conn: Conn) -> None:
+    def _on_closed(self, conn: Conn) -> None:
         conn.closed = True
         self._open.discard(conn)
         if self._conns.get(conn.process) is conn:
             del self._conns[conn.process]
             self._on_lost(conn.process, conn)
 
-    def _note_bad(self, exc: BaseException) -> None:
+    def _record_error(self, exc: BaseException) -> None:
         if isinstance(exc, FrameError):
             self._ctx.metrics.count("bad_frames")
             logger.bind(code=int(exc.code)).warning("connection closed: {}", exc)
@@ -182,10 +181,10 @@
 def _expect_hello(frames: Iterator[bytes]) -> Hello:
     body = next(frames, None)
     if body is None:
-        raise FrameError(ResultCode.BAD_FRAME, "closed before hello")
+        raise FrameError(ResultCode.BAD_FRAME, "connection closed before hello")
     msg = decode(body)
     if not isinstance(msg, Hello):
-        raise FrameError(ResultCode.BAD_FRAME, "the first frame is no hello")
+        raise FrameError(ResultCode.BAD_FRAME, "first frame is not a hello")
     if msg.version != PROTOCOL_VERSION:
-        raise FrameError(ResultCode.BAD_VERSION, f"version {msg.version}")
+        raise FrameError(ResultCode.BAD_VERSION, f"unsupported protocol version {msg.version}")
     return msg
--- a/src/gentianmux/routing.py
+++ b/src/gentianmux/routing.py
@@ -1,4 +1,4 @@
-"""Chooses an agent for each task of a job; pure, with the random source passed in."""
+"""Choice of agents for tasks; pure functions over estimated loads."""
 
 import heapq
 from collections import Counter
@@ -6,96 +6,100 @@
 from random import Random
 from typing import NamedTuple
 
-SAMPLE_LEAST = 16
+MIN_SAMPLE_SIZE = 16
 QUEUE_PER_SLOT = 0.0
-LEAST_RESERVATIONS = 3
+MIN_RESERVATIONS = 3
 REMOTE_PENALTY = 0.05
 LOAD_HALF_LIFE_S = 1.0
-FIRST_PAUSE_S = 0.02
-LONGEST_PAUSE_S = 1.0
+MIN_BACKOFF_S = 0.02
+MAX_BACKOFF_S = 1.0
 FAILURES_TO_EJECT = 5
-FIRST_EJECTION_S = 2.0
-LONGEST_EJECTION_S = 60.0
+MIN_EJECTION_S = 2.0
+MAX_EJECTION_S = 60.0
 
 
-class AgentLoad:
-    """What a coordinator knows of one agent: its own tasks there and the last word on others.
+class AgentLoadEstimate:
+    """Load of one agent as estimated by a coordinator.
 
-    ``others`` is how many tasks the agent had from other coordinators when it last spoke.
+    ``own_tasks`` counts this coordinator's tasks at the agent, ``other_tasks`` those of other
+    coordinators in the agent's last report.
     """
 
-    __slots__ = ("avoid_until", "mine", "others", "refusals", "reported")
+    __slots__ = ("avoid_until", "other_tasks", "own_tasks", "refusals", "reported_at")
 
     def __init__(self) -> None:
-        self.mine = 0
-        self.others = 0.0
-        self.reported = 0.0
+        self.own_tasks = 0
+        self.other_tasks = 0.0
+        self.reported_at = 0.0
         self.refusals = 0
         self.avoid_until = 0.0
 
-    def refused(self, now: float, rng: Random) -> None:
-        """Leave an agent alone for a while after it refused, longer each time in a row."""
-        pause_s = min(LONGEST_PAUSE_S, FIRST_PAUSE_S * 2**self.refusals)
+    def record_refusal(self, now: float, rng: Random) -> None:
+        """Back off from an agent after a refusal, exponentially and with jitter."""
+        backoff_s = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2**self.refusals)
         self.refusals += 1
-        self.avoid_until = now + pause_s * rng.uniform(0.5, 1.5)
+        self.avoid_until = now + backoff_s * rng.uniform(0.5, 1.5)
 
-    def served(self) -> None:
-        """Note that an agent took and ran a task."""
+    def record_success(self) -> None:
+        """Reset the backoff after the agent ran a task."""
         self.refusals = 0
 
-    def report(self, load: int, now: float) -> None:
-        """Note the whole load that an agent piggybacked on a reply."""
-        self.others = max(0.0, load - self.mine)
-        self.reported = now
+    def record_report(self, load: int, now: float) -> None:
+        """Apply the total load that an agent reported with its results."""
+        self.other_tasks = max(0.0, load - self.own_tasks)
+        self.reported_at = now
 
     def estimate(self, now: float) -> float:
-        """Tasks thought to be there now; old word of others counts for less."""
-        age = max(0.0, now - self.reported)
-        return self.mine + self.others * 0.5 ** (age / LOAD_HALF_LIFE_S)
+        """Estimated number of tasks at the agent; older reports count less."""
+        age = max(0.0, now - self.reported_at)
+        return self.own_tasks + self.other_tasks * 0.5 ** (age / LOAD_HALF_LIFE_S)
 
 
 class AgentHealth:
-    """Whether an agent fails everything of one service, and when it may be tried again.
+    """Ejects an agent after consecutive failures of one service's tasks.
 
     Examples
     --------
     >>> health = AgentHealth()
-    >>> [health.ended(False, 0.0) for _ in range(FAILURES_TO_EJECT)][-1]
+    >>> [health.record_result(False, 0.0) for _ in range(FAILURES_TO_EJECT)][-1]
     True
-    >>> health.is_ejected(1.0), health.is_ejected(FIRST_EJECTION_S + 1)
+    >>> health.is_ejected(1.0), health.is_ejected(MIN_EJECTION_S + 1)
     (True, False)
     """
 
-    __slots__ = ("_ejections", "_failures", "_until")
+    __slots__ = ("_ejected_until", "_ejections", "_failures")
 
     def __init__(self) -> None:
         self._failures = 0
         self._ejections = 0
-        self._until = float("-inf")
+        self._ejected_until = float("-inf")
 
-    def ended(self, well: bool, now: float) -> bool:
-        """Note how a task ended; true when the agent is ejected by it."""
-        if well:
+    def record_result(self, succeeded: bool, now: float) -> bool:
+        """Record a task's outcome; true if it causes an ejection."""
+        if succeeded:
             self._failures = self._ejections = 0
             return False
         self._failures += 1
         if self._failures < FAILURES_TO_EJECT or self.is_ejected(now):
             return False
-        self._until = now + min(LONGEST_EJECTION_S, FIRST_EJECTION_S * 2**self._ejections)
+        self._ejected_until = now + min(MAX_EJECTION_S, MIN_EJECTION_S * 2**self._ejections)
         self._ejections += 1
         return True
 
     def is_ejected(self, now: float) -> bool:
-        """Whether the agent is left out now."""
-        return now < self._until
+        """Whether the agent is ejected at time ``now``."""
+        return now < self._ejected_until
 
-    def is_probed(self, outstanding: int) -> bool:
-        """Whether an agent that came back is still on its one task at a time."""
+    def is_on_probation(self, outstanding: int) -> bool:
+        """Whether the agent is back from ejection and already has its one allowed task."""
         return self._ejections > 0 and outstanding > 0
 
 
 class Candidate(NamedTuple):
-    """An agent that may take tasks of a job."""
+    """Agent that can take tasks of a job.
+
+    ``local`` is true for agents in the coordinator's failure domain.
+    """
 
     process: str
     slots: int
@@ -106,26 +110,26 @@
 def choose_agents(
     count: int, candidates: Iterable[Candidate], rng: Random, queue_per_slot: float = QUEUE_PER_SLOT
 ) -> list[str]:
-    """Choose a process for each of ``count`` tasks, least loaded first.
+    """Choose an agent for each of ``count`` tasks, least loaded first.
 
-    All candidates are weighed when they are few, a random sample when they are many, so the
-    cost grows with the job and not with the fleet.
+    Large candidate lists are sampled, so that the cost depends on the job's size rather than on
+    the size of the fleet.
 
     Parameters
     ----------
     count : int
         Tasks to place.
-    candidates : iterable get_or_add Candidate
-        Agents that may take them.
+    candidates : iterable of Candidate
+        Agents that can take them.
     rng : Random
-        Source for samples and ties.
+        Random source for sampling and for breaking ties.
     queue_per_slot : float
-        Tasks that may wait at an agent for each of its slots.
+        Number of tasks that may queue at an agent per slot.
 
     Returns
     -------
     list of str
-        At most ``count`` processes; fewer when all that were looked at are full.
+        Process names, at most ``count``; fewer if all sampled agents are full.
     """
     heap = list(_heap_entries(_sample(list(candidates), count, rng), rng, queue_per_slot))
     heapq.heapify(heap)
@@ -135,25 +139,25 @@
 def choose_reservations(
     waiting: int, asked: int, candidates: list[Candidate], rng: Random
 ) -> dict[str, int]:
-    """Where to ask for slots: one reservation a task, and a few for a task that waits alone.
+    """Choose agents for reservations: one per waiting task, and at least ``MIN_RESERVATIONS``.
 
     Parameters
     ----------
     waiting : int
-        Tasks that wait.
+        Number of waiting tasks.
     asked : int
-        Reservations that are out already.
-    candidates : list get_or_add Candidate
-        Agents that may be asked.
+        Reservations that are already outstanding.
+    candidates : list of Candidate
+        Agents that can be asked.
     rng : Random
-        Source of the choice.
+        Random source for the choice.
 
     Returns
     -------
     dict of str to int
-        Reservations by process.
+        Number of reservations by process.
     """
-    wanted = max(waiting, LEAST_RESERVATIONS) - asked
+    wanted = max(waiting, MIN_RESERVATIONS) - asked
     if wanted <= 0 or not candidates:
         return {}
     spread = rng.sample(candidates, min(len(candidates), wanted))
@@ -162,7 +166,7 @@
 
 
 def _sample(candidates: list[Candidate], count: int, rng: Random) -> list[Candidate]:
-    size = max(SAMPLE_LEAST, 2 * count)
+    size = max(MIN_SAMPLE_SIZE, 2 * count)
     return candidates if len(candidates) <= size else rng.sample(candidates, size)
 
 
--- a/src/gentianmux/sample_endpoint.py
+++ b/src/gentianmux/sample_endpoint.py
@@ -1,4 +1,4 @@
-"""A sample endpoint: sleeps for as long as a task says and echoes its payload."""
+"""Sample endpoint that sleeps for a task's run time and echoes its payload."""
 
 import json
 from collections.abc import Callable, Iterable
@@ -11,29 +11,29 @@
 from .json_reply import StartResponse, json_reply
 
 Journal = Callable[[dict[str, Any]], None]
-# The loop's timers fire up to this late, so the last stretch of a run is waited out in turns.
+# Timers of the event loop can fire this late, so the end of a run is polled.
 TIMER_SLACK_S = 0.0025
 
 
 class _Running:
     __slots__ = ("lapses", "stop")
 
-    def __init__(self, lapses: float) -> None:
-        self.lapses = lapses
+    def __init__(self, lease_expires_at: float) -> None:
+        self.lease_expires_at = lease_expires_at
         self.stop = Event()
 
 
 class SampleEndpoint:
-    """A WSGI application with the endpoint interface.
+    """WSGI application with the endpoint interface.
 
-    A payload that is a JSON object may hold ``ms`` (how long the task runs) and ``fail``.
+    A payload that is a JSON object can hold ``ms`` (run time in ms) and ``fail`` (boolean).
 
     Parameters
     ----------
     slots : int
-        Tasks that run at once; one more is refused before it starts.
+        Number of concurrent tasks; further ones are refused before they start.
     journal : callable, optional
-        Called with each start and each end, for checks.
+        Called with an event for each start and each end.
 
     Examples
     --------
@@ -66,16 +66,16 @@
     def _control(
         self, path: str, body: dict[str, Any], start_response: StartResponse
     ) -> Iterable[bytes]:
-        named = [self._running[each] for each in body.get("tasks", ()) if each in self._running]
+        selected = [self._running[each] for each in body.get("tasks", ()) if each in self._running]
         if path == "/v1/lease":
-            for each in named:
-                each.lapses = monotonic() + body["lease_ms"] / 1000
+            for each in selected:
+                each.lease_expires_at = monotonic() + body["lease_ms"] / 1000
         elif path == "/v1/stop":
-            for each in named:
+            for each in selected:
                 each.stop.set()
         elif path not in ("/v1/throttle", "/v1/checkpoint"):
             return json_reply(start_response, 404, {"error": "no such path"})
-        return json_reply(start_response, 200, {"tasks": len(named)})
+        return json_reply(start_response, 200, {"tasks": len(selected)})
 
     def _run(self, body: dict[str, Any], start_response: StartResponse) -> Iterable[bytes]:
         name = body["task"]
@@ -91,22 +91,24 @@
         return json_reply(start_response, status, content)
 
     def _work(self, running: _Running, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
-        order = _order(body["payload"])
-        if self.fail_all or order.get("fail"):
+        instructions = _parse_instructions(body["payload"])
+        if self.fail_all or instructions.get("fail"):
             return 500, {"error": "told to fail"}
-        until = monotonic() + float(order.get("ms", 0)) * self.slowness / 1000
+        until = monotonic() + float(instructions.get("ms", 0)) * self.slowness / 1000
         while (now := monotonic()) < until:
-            if now >= running.lapses:
+            if now >= running.lease_expires_at:
                 return 410, {"error": "lease lapsed"}
-            if running.stop.wait(max(0.0, min(until, running.lapses) - now - TIMER_SLACK_S)):
+            if running.stop.wait(
+                max(0.0, min(until, running.lease_expires_at) - now - TIMER_SLACK_S)
+            ):
                 return 409, {"error": "stopped"}
         gevent.sleep(0)
         return 200, {"output": body["payload"]}
 
 
-def _order(payload: str) -> dict[str, Any]:
+def _parse_instructions(payload: str) -> dict[str, Any]:
     try:
-        order = json.loads(payload)
+        instructions = json.loads(payload)
     except ValueError:
         return {}
-    return order if isinstance(order, dict) else {}
+    return instructions if isinstance(instructions, dict) else {}
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""Repeated steps go on whatever one of them does."""
+"""Guards against a periodic loop that ends when one of its calls fails."""
 
 import gevent
 
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Frames and messages: whole round trips, and bytes that are no message."""
+"""Guards against lossy encoding, and against invalid bytes reaching the codec."""
 
 import gevent
 import pytest
@@ -76,7 +76,7 @@
 
 
 def test_greenlets_that_take_turns_can_use_the_codec() -> None:
-    """Building messages from dicts ended the process here (pycapnp 2.2.4)."""
+    """Building messages from dicts crashes the process when greenlets switch (pycapnp 2.2.4)."""
 
     def work() -> None:
         for msg in SAMPLES * 3:
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""Focused failures of shards, leases, take-over and recovery, on fakes and virtual time."""
+"""Guards against lost jobs and second starts when owners, heirs, agents or the log fail."""
 
 import pytest
 
@@ -217,7 +217,7 @@
 
 
 def test_a_start_frame_overtaken_by_a_trace_query_is_refused(world: World) -> None:
-    """The old owner's frame reaches an agent after that agent was asked under a newer epoch."""
+    """An old owner's frame arrives after the agent was queried under a newer epoch."""
     owner = world.owner("a")
     others = [f"a{n}" for n in range(4) if f"a{n}" != owner]
     slow = next(name for name in others if name != heir(world, "a"))
@@ -286,7 +286,7 @@
 
 
 def test_tasks_sent_to_an_agent_that_left_as_planned_run_elsewhere(world: World) -> None:
-    """The frame and its refusal are lost with the connection; the leave record is the proof."""
+    """Frame and refusal are lost with the connection; the leave record proves the refusal."""
 
     owner, old = world.owner("a"), heir(world, "a")
     leaving = next(node for node in world.nodes.values() if node.name not in (owner, old))
@@ -302,7 +302,7 @@
 
 
 def test_a_job_that_waits_outlives_the_agents_it_reserved_at(world: World) -> None:
-    """Places in the queue of an agent that ends are lost; the job asks elsewhere."""
+    """Reservations at an agent that exits are lost; the job must reserve elsewhere."""
     owner = world.owner("a")
     world.run_s = 4.0
     world.submit("fill", count=24)
@@ -322,7 +322,7 @@
 
 
 def test_a_heir_waits_for_a_leaving_owner_that_still_works(world: World) -> None:
-    """The ledger moves only when its jobs have ended, which may outlast a lease."""
+    """The ledger is handed over only when its jobs have ended, which can outlast a lease."""
     owner = world.node(world.owner("a"))
     assert owner is not None
     world.leaving.add(owner.process)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path in one process: HTTP in, frames, endpoint, whole answer out."""
+"""Guards against incomplete or wrong answers on the path from HTTP request to endpoint."""
 
 import json
 import socket
--- a/tests/test_routing_bounds.py
+++ b/tests/test_routing_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds on response and wasted messages, on virtual time: the same figures in every run."""
+"""Guards against slower responses and more wasted messages, on deterministic virtual time."""
 
 from random import Random
 
@@ -9,8 +9,7 @@
 SECONDS = 10
 SEED = 1
 
-# Load, tasks a job, then bounds on p99 over the shared queue's and on wasted messages a task.
-# Recorded when they were set: 1.000 0.009, 1.000 0.117, 1.058 0.950, 0.902 0.735.
+# Load, tasks per job, limit on p99 relative to one shared queue, limit on wasted messages per task.
 CASES = [
     (0.5, 1, 1.02, 0.02),
     (0.7, 1, 1.05, 0.15),
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -1,4 +1,4 @@
-"""Sockets: malformed frames, TLS with reload, no repeated POST, a stop that cuts nothing off."""
+"""Guards against faults of transport: bad frames, repeated POSTs, requests lost on shutdown."""
 
 import gc
 import json
@@ -66,7 +66,7 @@
 
 
 def test_the_client_library_repeats_no_post() -> None:
-    """A library that sent a POST again on a closed connection would start a task twice."""
+    """Resending a POST on a closed connection would start a task twice."""
     seen: list[bytes] = []
 
     def hang_up(sock: Any, _address: object) -> None:
@@ -161,7 +161,7 @@
 
 
 def gevent_sockets() -> list[Any]:
-    """Connected server-side sockets of this process."""
+    """Return the connected server-side sockets of this process."""
     found = []
     for each in gc.get_objects():
         if type(each).__module__ == "gevent._socket3" and type(each).__name__ == "socket":
