--- a/bench/leased_speed.py
+++ b/bench/leased_speed.py
@@ -170,7 +170,7 @@
             if number % (TASKS // PER_REPORT) == 0:
                 self.submit()
             if number % 10 == 0:
-                self.entry.step()
+                self.entry.tick()
                 self.clock.run_due()
 
 
--- a/src/gentianmux/executor.py
+++ b/src/gentianmux/executor.py
@@ -165,9 +165,7 @@
             gevent.sleep(period_s)
             now = self._ctx.now()
             names = [
-                name
-                for name, (_, record) in self.running.items()
-                if now - record.state_since > period_s
+                name for name, (_, record) in self.running.items() if now - record.since > period_s
             ]
             if names:
                 self._ctx.clock.call_soon(self._endpoint.renew, names)
@@ -278,7 +276,7 @@
 
     def on_task_ended(self, job: JobRecord, record: TaskRecord, run: TaskOutcome) -> None:
         """Record the outcome of a task and start the next one."""
-        ran_ms = (self._ctx.now() - record.state_since) * 1000
+        ran_ms = (self._ctx.now() - record.since) * 1000
         result = TaskResult(
             record.task.number, record.attempt, int(run.code), run.output, 0.0, ran_ms
         )
@@ -296,9 +294,9 @@
         return min(longest_s, max(0.001, (job.deadline_ms - self._ctx.now_ms()) / 1000))
 
     def _flush(self, job: JobRecord, immediately: bool = False) -> None:
-        if not job.unsent or (job.open_count and not job.eager and not immediately):
+        if not job.unsent or (job.open and not job.eager and not immediately):
             return
-        if job.open_count and not immediately:
+        if job.open and not immediately:
             self._flush_later(job)
             return
         results, job.unsent = job.unsent, []
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -23,7 +23,7 @@
 """Agents looked at for one round of placing: four times the sample, so that a quarter of them may
 be silent, leaving or of other services. A round then costs the same however many there are."""
 
-EXPECTED_S = 2.0
+EXPECTED_AGENT_TTL_S = 2.0
 """Seconds for which an announced agent counts as capacity before it is heard of; all are connected
 1.5 s after every process has restarted."""
 
@@ -61,7 +61,7 @@
     echoed_at: float = 0.0
     seen: int = 0
 
-    def offer(self, room: Resources) -> None:
+    def set_offered(self, room: Resources) -> None:
         """Take note of the room that the agent offers now."""
         self._offered = room
         for taken in self._pending.values():
@@ -84,7 +84,7 @@
         self.longest_ms = load.longest_ms
         for number in [number for number in self._pending if number <= load.applied]:
             del self._pending[number]
-        self.offer(Resources(load.cpu, load.mem_mb, load.gpu))
+        self.set_offered(Resources(load.cpu, load.mem_mb, load.gpu))
 
     def echoed(self) -> None:
         """Note that the newest report is echoed, be it with an assignment or with claims.
@@ -224,7 +224,7 @@
         Judged by the few agents that have connected in the first second after everything
         restarts, jobs were refused that the others had room for: 65 of them on one day.
         """
-        self._expected[node] = Expected(service, failure_domain, cpu, now + EXPECTED_S)
+        self._expected[node] = Expected(service, failure_domain, cpu, now + EXPECTED_AGENT_TTL_S)
 
     def capacity_cpu(self, service: str, now: float) -> float:
         """Cores of all endpoints that serve a service, extrapolated when there are many."""
--- a/src/gentianmux/leased/progress.py
+++ b/src/gentianmux/leased/progress.py
@@ -12,7 +12,7 @@
 
 Estimates are off by up to some 40 % either way, so twice the estimate is still ordinary."""
 
-LEAST_SEEN_S = 0.12
+MIN_OBSERVATION_S = 0.12
 """Seconds of a run before its rate says anything: one report of progress and some rounding."""
 
 
@@ -23,7 +23,7 @@
     percent: float = 0.0
     moved_at: float = 0.0
 
-    def seen(self, percent: float, now: float) -> "Progress":
+    def updated(self, percent: float, now: float) -> "Progress":
         """Take in a report."""
         if percent > self.percent or not self.moved_at:
             return RunProgress(self.began, percent, now)
@@ -37,7 +37,7 @@
     def projected_ms(self, now: float) -> float | None:
         """Run time it is heading for, in ms; None while too little was seen."""
         elapsed = now - self.began
-        if elapsed < LEAST_SEEN_S:
+        if elapsed < MIN_OBSERVATION_S:
             return None
         done = max(self.percent, 0.5) / 100
         return elapsed * 1000 / done
--- a/src/gentianmux/leased/run_table.py
+++ b/src/gentianmux/leased/run_table.py
@@ -217,7 +217,7 @@
     def _seen_active(self, run: Run, percent: float, now: float) -> None:
         run.missing = 0
         run.listed = True
-        run.progress = run.progress.seen(percent, now)
+        run.progress = run.progress.updated(percent, now)
         if run.phase in (Phase.STARTING, Phase.DOUBTFUL):
             run.phase = Phase.RUNNING
             run.answered_at = now
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -11,7 +11,7 @@
 import pytest
 
 from bench.leased_speed import cost_of_a_job
-from gentianmux.leased.admission import urgency
+from gentianmux.leased.admission_policy import urgency
 from gentianmux.leased.backlog import Backlog
 from gentianmux.leased.candidates import Candidates
 from gentianmux.leased.fleet_view import AgentView, FleetView, PlacementRequest
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -19,7 +19,7 @@
 import gevent
 import pytest
 from platform_deployment import Deployment, job_body, served
-from test_leased_parts import fleet
+from test_leased_units import fleet
 from test_leased_world import _inject_fault, assert_invariants_hold, outcome, ready_world
 from test_platform_adapter import REPORT, SPEC
 
@@ -41,7 +41,7 @@
     StartResult,
     StepSpec,
 )
-from gentianmux.leased.payloads import pack
+from gentianmux.leased.payloads import encode_payload
 from gentianmux.leased.resources import Resources
 from gentianmux.leased.run_table import RunTable
 from gentianmux.messages import Assign, LeasedTask
@@ -328,7 +328,7 @@
     task = LeasedTask("00000000000000aa.0.0.0", 1, 0, 1600, 64, 0, 200)
     world.works[task.name] = (StepSpec(1, Resources(1600, 64), 200), Work(0.2))
     echo = world.entries["e0"].view.get_or_add("w0.1").newest_load  # type: ignore[union-attr]
-    agent.on_message(Assign(echo, 1, [task], [], [pack("x")]), "e0.1")
+    agent.on_message(Assign(echo, 1, [task], [], [encode_payload("x")]), "e0.1")
     assert (task.name, 1) in agent.table.runs
     endpoint.born += 1
     agent.tracker.started_again(endpoint.born)
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -8,7 +8,7 @@
 from bench.leased_world import ENDPOINT_ROOM, QUEUE, Asked, World
 from gentianmux.leased.job_state import JobOutcome
 from gentianmux.leased.model import EndpointReport, EndRecord, HoldReply, RunOutcome
-from gentianmux.leased.payloads import pack
+from gentianmux.leased.payloads import encode_payload
 from gentianmux.leased.resources import Resources
 from gentianmux.messages import Assign, EndedRuns, LeasedTask, Message, RunRef, Withdraw
 
@@ -365,10 +365,10 @@
     assert entry is not None
     short = world.submit("e0", run_s=0.5).spec
     long = world.submit("e0", run_s=4.0).spec
-    assert entry.takes(long)
+    assert entry.accepts(long)
     entry._shutdown_at = world.time + 2.0
-    assert entry.takes(short)
-    assert not entry.takes(long)
+    assert entry.accepts(short)
+    assert not entry.accepts(long)
 
 
 def test_agents_that_refuse_for_a_moment_are_not_taken_for_none() -> None:
@@ -416,7 +416,7 @@
     world.machines["w0"].endpoint.active.clear()
     for view in world.entries["e0"].view.agents.values():  # type: ignore[union-attr]
         view._pending.clear()
-        view.offer(ENDPOINT_ROOM)
+        view.set_offered(ENDPOINT_ROOM)
         view.last_heard_at = world.time
     entry._placer.place()
     assert not late.handle.job.began
@@ -454,7 +454,7 @@
     assert agent is not None
     task = LeasedTask(f"{first.spec.job_id}.0.0.0", 5, 0, 1600, 64, 0, 3000)
     echo = world.entries["e1"].view.get_or_add(world.process_of("w0")).newest_load  # type: ignore[union-attr]
-    agent.on_message(Assign(echo, 1, [task], [], [pack("x")]), world.process_of("e1"))
+    agent.on_message(Assign(echo, 1, [task], [], [encode_payload("x")]), world.process_of("e1"))
     agent.on_message(Withdraw([RunRef(task.name, 5)]), world.process_of("e1"))
     world.run(1.0)
     assert world.machines["w0"].endpoint.active == {}
@@ -607,14 +607,14 @@
     assert not entry.is_drained()
     world.run(0.05)
     last = world.submit("e0", tasks=1, run_s=0.05)
-    assert entry.takes(last.spec)
+    assert entry.accepts(last.spec)
     assert not entry.is_drained()
     world.run(0.1)
     assert outcome(last) is JobOutcome.COMPLETED
     assert not entry.is_drained()
     world.run(0.11)
     assert entry.is_drained()
-    assert not entry.takes(last.spec)
+    assert not entry.accepts(last.spec)
 
 
 @pytest.mark.parametrize("mbits, agents", [(2, 12), (25, 24)])
