--- a/src/gentianmux/dispatcher.py
+++ b/src/gentianmux/dispatcher.py
@@ -101,7 +101,7 @@
                 return _to_reply(attempt.answer)
             if attempt.sent and ctx.now() >= started_at + wait_s:
                 return Reply(ResultCode.ACCEPTED)
-            # An owner that was lost after the request was sent, or dropped the job, may have run it.
+            # An owner that was lost after the request, or that dropped the job, may have run it.
             lost = attempt.sent and attempt.answer is None
             gave_up = attempt.answer is not None and attempt.answer.code == ResultCode.STALE_EPOCH
             outcome_unknown = outcome_unknown or lost or gave_up
--- a/src/gentianmux/sample_endpoint.py
+++ b/src/gentianmux/sample_endpoint.py
@@ -16,7 +16,7 @@
 
 
 class _Running:
-    __slots__ = ("lapses", "stop")
+    __slots__ = ("lease_expires_at", "stop")
 
     def __init__(self, lease_expires_at: float) -> None:
         self.lease_expires_at = lease_expires_at
