--- a/src/gentianmux/executor.py
+++ b/src/gentianmux/executor.py
@@ -123,10 +123,12 @@
         their tasks are known not to have run.
         """
         ctx = self._ctx
-        others = {each.process for each in ctx.membership.alive("agent")}
-        known = {job.coordinator for job in self.records.jobs.values()}
-        others |= {process for process in known if ctx.membership.is_alive(process)}
-        unacknowledged = others - self._notice_replies - {ctx.process}
+        coordinators = {each.process for each in ctx.membership.alive("agent")}
+        job_coordinators = {job.coordinator for job in self.records.jobs.values()}
+        coordinators |= {
+            process for process in job_coordinators if ctx.membership.is_alive(process)
+        }
+        unacknowledged = coordinators - self._notice_replies - {ctx.process}
         if ctx.now() - self._notices_sent_at > NOTICE_RETRY_S:
             self._notices_sent_at = ctx.now()
             for process in sorted(unacknowledged):
@@ -172,8 +174,8 @@
 
     def _may_run(self, member: str) -> bool:
         """Whether a member holds fewer slots here than its claim allows."""
-        part = self._ctx.claims.slot_limit(member, self._ctx.identity.name, self._ctx.now())
-        return part is None or self._slots_by_member[member] < part
+        slot_limit = self._ctx.claims.slot_limit(member, self._ctx.identity.name, self._ctx.now())
+        return slot_limit is None or self._slots_by_member[member] < slot_limit
 
     def _weight(self, member: str) -> int:
         rules = self._ctx.config.member(member)
@@ -268,19 +270,19 @@
 
     def _run(self, job: JobRecord, record: TaskRecord) -> None:
         try:
-            run = self._endpoint.run(job, record.task, self._time_left_s(job))
+            outcome = self._endpoint.run(job, record.task, self._time_left_s(job))
         except Exception as exc:
             logger.bind(job=job.key, code=int(ResultCode.INTERNAL)).exception("task failed")
-            run = TaskOutcome(ResultCode.TASK_UNKNOWN, type(exc).__name__)
-        self.on_task_ended(job, record, run)
+            outcome = TaskOutcome(ResultCode.TASK_UNKNOWN, type(exc).__name__)
+        self.on_task_ended(job, record, outcome)
 
-    def on_task_ended(self, job: JobRecord, record: TaskRecord, run: TaskOutcome) -> None:
+    def on_task_ended(self, job: JobRecord, record: TaskRecord, outcome: TaskOutcome) -> None:
         """Record the outcome of a task and start the next one."""
         ran_ms = (self._ctx.now() - record.since) * 1000
         result = TaskResult(
-            record.task.number, record.attempt, int(run.code), run.output, 0.0, ran_ms
+            record.task.number, record.attempt, int(outcome.code), outcome.output, 0.0, ran_ms
         )
-        self._ctx.metrics.count("results", label=run.code.label)
+        self._ctx.metrics.count("results", label=outcome.code.label)
         self.records.finish(job, record, result)
         del self.running[task_name(job.key, record.task)]
         self._slots_by_member[job.member] -= 1
@@ -288,10 +290,10 @@
         self._flush(job)
 
     def _time_left_s(self, job: JobRecord) -> float:
-        longest_s = self._ctx.cfg.task_timeout_ms / 1000
+        max_run_s = self._ctx.cfg.task_timeout_ms / 1000
         if job.deadline_ms < 0:
-            return longest_s
-        return min(longest_s, max(0.001, (job.deadline_ms - self._ctx.now_ms()) / 1000))
+            return max_run_s
+        return min(max_run_s, max(0.001, (job.deadline_ms - self._ctx.now_ms()) / 1000))
 
     def _flush(self, job: JobRecord, immediately: bool = False) -> None:
         if not job.unsent or (job.open and not job.eager and not immediately):
--- a/src/gentianmux/placement.py
+++ b/src/gentianmux/placement.py
@@ -49,7 +49,7 @@
         self._pools: dict[str, list[Join]] = {}
         self._pools_version = -2
         self._ctx = ctx
-        self._placer = False
+        self._place_scheduled = False
 
     def refusal(self, service: str, member: str, specs: list[TaskSpec]) -> ResultCode | None:
         """Return the code for a job that cannot be placed at all; None if it can."""
@@ -88,7 +88,7 @@
         Parameters
         ----------
         service : str
-            The service.
+            Service of the tasks.
         count : int
             Tasks to place; determines the sample size.
         member : str
@@ -107,8 +107,8 @@
         # An owner starts no task of its own shards while the service has another agent, so that
         # a crash never loses a task together with the ledger entry that describes it.
         for join in joins:
-            own = join.process == self._ctx.process and pool_size > 1
-            if own or join.process in self.shutting_down:
+            is_self = join.process == self._ctx.process and pool_size > 1
+            if is_self or join.process in self.shutting_down:
                 continue
             if self._ctx.membership.is_alive(join.process):
                 yield join
@@ -117,12 +117,12 @@
         self, joins: Iterable[Join], service: str, member: str, needs: Size
     ) -> Iterator[Join]:
         config, now = self._ctx.config, self._ctx.now()
-        named = (config.service(service) or {}).get("workers", [])
+        worker_names = (config.service(service) or {}).get("workers", [])
         for join in joins:
-            part = self._ctx.claims.slot_limit(member, join.name, now)
-            if named and join.name not in named:
+            slot_limit = self._ctx.claims.slot_limit(member, join.name, now)
+            if worker_names and join.name not in worker_names:
                 continue
-            if part != 0 and fits(needs, config.worker(join.name)):
+            if slot_limit != 0 and fits(needs, config.worker(join.name)):
                 yield join
 
     def _healthy(self, joins: Iterable[Join], service: str) -> Iterator[Join]:
@@ -130,12 +130,12 @@
         found = list(joins)
         now = self._ctx.now()
         ejected = [j for j in found if self.health[j.process, service].is_ejected(now)]
-        out = {join.process for join in ejected[: len(found) // AGENTS_PER_EJECTION]}
+        excluded = {join.process for join in ejected[: len(found) // AGENTS_PER_EJECTION]}
         for join in found:
             on_probation = self.health[join.process, service].is_on_probation(
                 self.loads[join.process].own_tasks
             )
-            if join.process not in out and not on_probation:
+            if join.process not in excluded and not on_probation:
                 yield join
 
     def _to_candidate(self, join: Join) -> Candidate:
@@ -269,13 +269,13 @@
 
     def place_soon(self) -> None:
         """Schedule ``place_backlog`` once for all results that arrive together."""
-        if self.backlog and not self._placer:
-            self._placer = True
+        if self.backlog and not self._place_scheduled:
+            self._place_scheduled = True
             self._ctx.clock.call_soon(self.place_backlog)
 
     def place_backlog(self) -> None:
         """Place waiting jobs, most urgent first."""
-        self._placer = False
+        self._place_scheduled = False
         full: set[str] = set()
         for job in sorted(self.backlog.values(), key=self._urgency):
             if job.service in full:
--- a/src/gentianmux/routing.py
+++ b/src/gentianmux/routing.py
@@ -118,7 +118,7 @@
     Parameters
     ----------
     count : int
-        Tasks to place.
+        Number of tasks to place.
     candidates : iterable of Candidate
         Agents that can take them.
     rng : Random
