--- a/src/gentianmux/coordinator.py
+++ b/src/gentianmux/coordinator.py
@@ -255,8 +255,8 @@
 
     def abandon_shard(self, shard: int, epoch: int) -> None:
         """Drop all jobs of a shard that were admitted under an epoch."""
-        mine = [job for job in self.jobs.values() if (job.shard, job.epoch) == (shard, epoch)]
-        for job in mine:
+        abandoned = [job for job in self.jobs.values() if (job.shard, job.epoch) == (shard, epoch)]
+        for job in abandoned:
             self.abandon(job)
 
     # Losses
--- a/src/gentianmux/typed_json.py
+++ b/src/gentianmux/typed_json.py
@@ -23,14 +23,14 @@
     try:
         content = json.loads(raw, parse_constant=_reject_constant)
     except RecursionError as exc:
-        raise ValueError("nested too deeply") from exc
+        raise ValueError("JSON nested too deeply") from exc
     if not isinstance(content, dict):
-        raise ValueError(f"{type(content).__name__} in place of an object")
+        raise ValueError(f"{type(content).__name__} instead of a JSON object")
     return content
 
 
 def _reject_constant(name: str) -> Never:
-    raise ValueError(f"{name} is no number")
+    raise ValueError(f"{name} is not a valid JSON number")
 
 
 def get_str(content: Mapping[str, Any], name: str, default: Any = _MISSING) -> str:
@@ -39,7 +39,7 @@
     if value is default and default is not _MISSING:
         return str(default)
     if not isinstance(value, str) or not 0 < len(value) <= MAX_STR_CHARS:
-        raise ValueError(f"{name} is no text")
+        raise ValueError(f"{name} is not a string of 1 to 4096 characters")
     return value
 
 
@@ -47,9 +47,9 @@
     """Return a list of strings, empty if missing; raises ``ValueError`` for anything else."""
     value = content.get(name, ())
     if isinstance(value, str) or not isinstance(value, Sequence):
-        raise ValueError(f"{name} is no list")
+        raise ValueError(f"{name} is not a list")
     if not all(isinstance(each, str) and len(each) <= MAX_STR_CHARS for each in value):
-        raise ValueError(f"{name} holds something other than text")
+        raise ValueError(f"{name} contains an item that is not a string of up to 4096 characters")
     return tuple(value)
 
 
@@ -57,7 +57,7 @@
     """Return a non-negative integer; raises ``ValueError`` for anything else."""
     value = content.get(name, default)
     if type(value) is not int or not 0 <= value <= MAX_NUMBER:
-        raise ValueError(f"{name} is no whole number of zero or more")
+        raise ValueError(f"{name} is not a non-negative integer up to 2**62")
     return value
 
 
@@ -65,7 +65,7 @@
     """Return a finite non-negative number; raises ``ValueError`` for anything else."""
     value = content.get(name, default)
     if type(value) not in (int, float) or not 0 <= value <= MAX_NUMBER:
-        raise ValueError(f"{name} is no number of zero or more")
+        raise ValueError(f"{name} is not a non-negative number up to 2**62")
     return float(value)
 
 
@@ -73,7 +73,7 @@
     """Return a boolean field; raises ``ValueError`` for anything else."""
     value = content.get(name)
     if not isinstance(value, bool):
-        raise ValueError(f"{name} is neither true nor false")
+        raise ValueError(f"{name} is not a boolean")
     return value
 
 
@@ -81,5 +81,5 @@
     """Return a nested object; raises ``ValueError`` for anything else."""
     value = content.get(name)
     if not isinstance(value, dict):
-        raise ValueError(f"{name} is no object")
+        raise ValueError(f"{name} is not an object")
     return value
