--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Frames and messages: whole round trips, and bytes that are no message."""
+"""Guards against lossy encoding, and against invalid bytes reaching the codec."""
 
 import gevent
 import pytest
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("msg", SAMPLES, ids=lambda msg: type(msg).__name__)
-def test_a_message_comes_back_as_it_was_sent(msg: m.Message) -> None:
+def test_message_round_trip(msg: m.Message) -> None:
     assert decode(encode(msg)) == msg
 
 
@@ -75,8 +75,8 @@
         list(split_frames([pack_frame(encode(SAMPLES[0]), b"theirs")], b"ours"))
 
 
-def test_greenlets_that_take_turns_can_use_the_codec() -> None:
-    """Building messages from dicts ended the process here (pycapnp 2.2.4)."""
+def test_codec_works_across_greenlet_switches() -> None:
+    """Building messages from dicts crashes the process when greenlets switch (pycapnp 2.2.4)."""
 
     def work() -> None:
         for msg in SAMPLES * 3:
