--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -164,13 +164,13 @@
     (node,) = world.nodes.values()
     for number in range(agents):
         join = _join(number)._replace(services=["s"])
-        node.board.fleet.processes[join.process] = join
-    node.board.fleet.version += 1
-    node.board.members.is_alive = lambda process: True  # type: ignore[method-assign]
-    placement = node.board.placement
+        node.ctx.fleet.processes[join.process] = join
+    node.ctx.fleet.version += 1
+    node.ctx.members.is_alive = lambda process: True  # type: ignore[method-assign]
+    placement = node.ctx.placement
 
     def once() -> None:
-        chosen = choose(20, placement.candidates("s", 20), node.board.rng)
+        chosen = choose(20, placement.candidates("s", 20), node.ctx.rng)
         assert len(chosen) == 20
 
     return micros(once, 30, 20)
--- a/bench/leased_capacity.py
+++ b/bench/leased_capacity.py
@@ -11,7 +11,7 @@
 from gentianmux.leased.fleet_view import FleetView, Wish
 from gentianmux.leased.job_state import JobState
 from gentianmux.leased.model import JobSpec, QueueRules, StepSpec
-from gentianmux.leased.room import Room
+from gentianmux.leased.resources import Resources
 from gentianmux.messages import AgentLoad, EndpointState
 
 RESULT = ROOT / "bench" / "results" / "leased_capacity.json"
@@ -40,7 +40,7 @@
 def decision_us(agents: int) -> float:
     """Processor time of placing one job of four tasks, in microseconds, median of rounds."""
     view = fleet(agents)
-    wish = Wish("s", Room(1600, 64))
+    wish = Wish("s", Resources(1600, 64))
     took = []
     for _ in range(ROUNDS):
         began = process_time()
@@ -66,7 +66,7 @@
     """Memory of one job at work at an entry, in bytes."""
     gc.collect()
     tracemalloc.start()
-    step = StepSpec(tasks, Room(1600, 64), 400)
+    step = StepSpec(tasks, Resources(1600, 64), 400)
     kept = [
         JobState(JobSpec(f"{number:016x}", "x" * 500, (step,)), QUEUE, 0.0, 5.0)
         for number in range(jobs)
--- a/bench/leased_endpoint.py
+++ b/bench/leased_endpoint.py
@@ -15,7 +15,7 @@
     NoAnswer,
     StartVerdict,
 )
-from gentianmux.leased.room import NO_ROOM, Room
+from gentianmux.leased.resources import NO_ROOM, Resources
 
 if TYPE_CHECKING:
     from bench.leased_world import Machine, World
@@ -42,7 +42,7 @@
 class FakeRun:
     """A run at a fake endpoint."""
 
-    need: Room
+    need: Resources
     work: Work
     done_s: float = 0.0
     moved_at: float = 0.0
@@ -80,7 +80,7 @@
         Starts that get no answer and are carried out ``late_by`` seconds later.
     """
 
-    def __init__(self, world: "World", name: str, capacity: Room) -> None:
+    def __init__(self, world: "World", name: str, capacity: Resources) -> None:
         self.world = world
         self.name = name
         self.capacity = capacity
@@ -104,7 +104,7 @@
         self.acknowledged = 0
         self._number = 0
 
-    def used(self) -> Room:
+    def used(self) -> Resources:
         """What its runs take, those being stopped included."""
         total = NO_ROOM
         for run in self.active.values():
--- a/bench/leased_load.py
+++ b/bench/leased_load.py
@@ -24,7 +24,7 @@
 from bench.processes import ROOT
 from bench.scenario import USUAL, Kind, Power, Scenario
 from gentianmux.leased.job_state import USEFUL_FOR, Outcome
-from gentianmux.leased.room import Room
+from gentianmux.leased.resources import Resources
 
 RESULT = ROOT / "bench" / "results" / "leased_load.json"
 
@@ -128,7 +128,7 @@
     world = World(len(scenario.rooms), len(scenario.shares), seed)
     sizes = zip(world.machines.values(), scenario.rooms, scenario.speeds, strict=True)
     for machine, cpu, speed in sizes:
-        machine.endpoint.capacity = Room(cpu, 65536, 0)
+        machine.endpoint.capacity = Resources(cpu, 65536, 0)
         machine.endpoint.speed = speed
     world.run(WARM_S)
     return world
--- a/bench/leased_speed.py
+++ b/bench/leased_speed.py
@@ -32,7 +32,7 @@
     RequestLimits,
     StepSpec,
 )
-from gentianmux.leased.room import Room
+from gentianmux.leased.resources import Resources
 from gentianmux.memory_log import MemoryKeyedLog
 from gentianmux.messages import (
     PROTOCOL_VERSION,
@@ -52,7 +52,7 @@
 AGENTS = (10, 60, 160, 1000)
 USUAL_AGENTS, USUAL_BACKLOG = 60, 200
 TASKS, PER_REPORT = 8, 4
-NEED = Room(1200, 64)
+NEED = Resources(1200, 64)
 PAYLOAD = "0123456789abcdef" * 150
 # So patient that nothing is refused: what is timed is waiting and placing.
 QUEUE = QueueRules("q", "h", "/q/", "s", 5000, 60, 0, 3, 1e5)
@@ -128,7 +128,7 @@
             state = EndpointState(f"i-{number}", "s", "fd", 16000, 65536, 0, ["a"], True)
             self.take(name, state)
             self.report(name, 16000)
-        while len(self.entry._board.backlog) < backlog:
+        while len(self.entry._ctx.backlog) < backlog:
             self.submit()
 
     def take(self, name: str, msg: Message) -> None:
--- a/bench/leased_world.py
+++ b/bench/leased_world.py
@@ -28,9 +28,9 @@
     QueueRules,
     RequestLimits,
     StepSpec,
-    node_of,
+    instance_of,
 )
-from gentianmux.leased.room import Room
+from gentianmux.leased.resources import Resources
 from gentianmux.leased.settings import LeasedSettings, lease_s
 from gentianmux.leased.ticket import Ticket
 from gentianmux.memory_log import MemoryKeyedLog
@@ -39,7 +39,7 @@
 from gentianmux.settings import Settings
 
 QUEUE = QueueRules("q", "h.example", "/q/", "s", 5000, 60, 0, 3, 1.6)
-ENDPOINT_ROOM = Room(16000, 65536, 0)
+ENDPOINT_ROOM = Resources(16000, 65536, 0)
 
 EVACUATE_S = 0.05
 """Seconds after an evacuation is known anywhere until no run begins there: ten round trips, where
@@ -104,7 +104,7 @@
         How many of each.
     seed : int
         Of everything that is random.
-    capacity : Room
+    capacity : Resources
         Of each endpoint.
     link_bytes_s : float
         What entries are told that their links carry; 0 for nothing.
@@ -124,7 +124,7 @@
         agents: int = 3,
         entries: int = 1,
         seed: int = 1,
-        capacity: Room = ENDPOINT_ROOM,
+        capacity: Resources = ENDPOINT_ROOM,
         link_bytes_s: float = 0.0,
     ) -> None:
         self.time = 100.0
@@ -300,7 +300,7 @@
         for call, args in held:
             self.at(0.0, process, call, *args)
 
-    def replace_endpoint(self, name: str, capacity: Room | None = None) -> FakeEndpoint:
+    def replace_endpoint(self, name: str, capacity: Resources | None = None) -> FakeEndpoint:
         """End an endpoint's life and begin another at the same address."""
         machine = self.machines[name]
         old = machine.endpoint
@@ -371,7 +371,7 @@
         self._count += 1
         for mine, other in ((agent, entry), (entry, agent)):
             for process in list(mine.open):
-                if node_of(process) == node_of(other.me.process):
+                if instance_of(process) == instance_of(other.me.process):
                     del mine.open[process]
             mine.open[other.me.process] = self._count
             mine.heard[other.me.process] = self.time
@@ -380,7 +380,7 @@
 
     def is_cut(self, one: str, other: str) -> bool:
         """Whether nothing passes between two processes."""
-        return frozenset((node_of(one), node_of(other))) in self.cut
+        return frozenset((instance_of(one), instance_of(other))) in self.cut
 
     def cut_apart(self, one: str, other: str, seconds: float) -> None:
         """Cut two instances apart silently for a while."""
@@ -471,7 +471,7 @@
         self._jobs += 1
         name = job_id or f"{self._jobs:016x}"
         guess_ms = int(run_s * 1000) if estimate_ms is None else estimate_ms
-        step = StepSpec(tasks, Room(cpu, 64, 0), guess_ms)
+        step = StepSpec(tasks, Resources(cpu, 64, 0), guess_ms)
         spec = JobSpec(name, payload, (step,))
         for index in range(tasks):
             each_s = works[index] if works else run_s
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -114,7 +114,7 @@
     missing = len(jobs) - len(done)
     assert not missing, f"{missing} jobs are not complete"
     ratios = [(done[f"m/{n}"] - job.at) / ideal(job.works) for n, job in enumerate(jobs)]
-    wasted = sum(node.board.metrics.total("wasted") for node in world.nodes.values())
+    wasted = sum(node.ctx.metrics.total("wasted") for node in world.nodes.values())
     return Measured(ratios, wasted / sum(len(job.works) for job in jobs))
 
 
--- a/bench/world.py
+++ b/bench/world.py
@@ -156,24 +156,24 @@
         me = announce(cfg, incarnation)
         self.name = name
         self.process = me.process
-        self.board = Board(cfg, me, FakeLog(world, name), FakeClock(world, me.process))
-        self.board.members = FakeMembers(world, me.process)  # type: ignore[assignment]
-        self.board.peers = FakePeers(world, me.process)  # type: ignore[assignment]
-        ShardKeeper(self.board)
-        Coordinator(self.board)
-        Placement(self.board)
-        executor = Executor(self.board)
+        self.ctx = Board(cfg, me, FakeLog(world, name), FakeClock(world, me.process))
+        self.ctx.members = FakeMembers(world, me.process)  # type: ignore[assignment]
+        self.ctx.peers = FakePeers(world, me.process)  # type: ignore[assignment]
+        ShardKeeper(self.ctx)
+        Coordinator(self.ctx)
+        Placement(self.ctx)
+        executor = Executor(self.ctx)
         self._world = world
         executor.launch = self._launch  # type: ignore[method-assign]
-        Witness(self.board)
-        self.watch = LogWatch(self.board)
+        Witness(self.ctx)
+        self.watch = LogWatch(self.ctx)
         self.paused = False
         self.dead = False
         self.silent_since: float | None = None
         for period_s, step in (
             (0.5, self.watch.read),
-            (0.5, self.board.keeper.step),
-            (0.2, self.board.coordinator.step),
+            (0.5, self.ctx.keeper.step),
+            (0.2, self.ctx.coordinator.step),
             (1.0, self._react),
         ):
             world.at(world.rng.random() * period_s, self.process, self._every, period_s, step)
@@ -183,22 +183,22 @@
         self._world.at(period_s, self.process, self._every, period_s, step)
 
     def _react(self) -> None:
-        self.board.witness.check_dead()
-        if self.board.read_soon.is_set():
-            self.board.read_soon.clear()
+        self.ctx.witness.check_dead()
+        if self.ctx.read_soon.is_set():
+            self.ctx.read_soon.clear()
 
     def _launch(self, job: JobRecord, record: TaskRecord) -> None:
         world = self._world
         world.starts.append(Start(self.name, job.key, record.task.number, world.time))
         run = Run(ResultCode.OK, record.task.payload)
         run_s = world.run_time(self.name, record.task)
-        world.at(run_s, self.process, self.board.executor.on_ended, job, record, run)
+        world.at(run_s, self.process, self.ctx.executor.on_ended, job, record, run)
 
     def lost(self, process: str, refused: bool) -> None:
         """React to a lost connection as the real handlers do."""
-        self.board.coordinator.on_lost(process, True, refused)
+        self.ctx.coordinator.on_lost(process, True, refused)
         if refused:
-            self.board.witness.on_refused(process)
+            self.ctx.witness.on_refused(process)
 
 
 class FakeEntry:
@@ -403,7 +403,7 @@
             self.at(arrives - self.time, process, self._hand, process, msg, sender)
 
     def _hand(self, process: str, msg: Message, sender: str) -> None:
-        handle(msg, self.nodes[process].board, sender)
+        handle(msg, self.nodes[process].ctx, sender)
 
     def _lose(self, sender: str, process: str, refused: bool) -> None:
         node = self.nodes.get(sender)
--- a/features/steps/session_steps.py
+++ b/features/steps/session_steps.py
@@ -38,11 +38,11 @@
     )
     context.system = Standalone(cfg)
     context.system.start()
-    context.board = context.system.node.board
+    context.ctx = context.system.node.ctx
     items = read_inventory((EXAMPLES / "inventory.csv").read_text(), False).items
     items.update(read_rules((EXAMPLES / "rules.json").read_text()).items)
     change = diff(ConfigState(), items, ("worker", "member", "team", "service"))
-    done = publish(context.board.log, change._replace(change_id="import"), 1, lambda: None)
+    done = publish(context.ctx.log, change._replace(change_id="import"), 1, lambda: None)
     assert done.code is ResultCode.OK, done
     context.client = ApiClient(f"http://{cfg.http_address}", "steppe-demo-key")
     with gevent.Timeout(READY_S):
@@ -72,7 +72,7 @@
 
 @then("the endpoint started {count:d} tasks")
 def started(context: Any, count: int) -> None:
-    assert context.board.metrics.total("starts") == count
+    assert context.ctx.metrics.total("starts") == count
 
 
 @then("the answer is refused as {name} and did not run")
@@ -83,7 +83,7 @@
 
 @when("two operators change the weight of member {member} on the same version")
 def race(context: Any, member: str) -> None:
-    log = context.board.log
+    log = context.ctx.log
     state = ConfigState()
     Follower(log, "config", state).poll()
     context.outcomes = []
--- a/src/gentianmux/caller_api.py
+++ b/src/gentianmux/caller_api.py
@@ -56,13 +56,13 @@
 
     Parameters
     ----------
-    board : Board
+    ctx : Board
         The blackboard.
     """
 
-    def __init__(self, board: Board) -> None:
-        self._board = board
-        self._limits = MemberLimits(board.cfg, board.config, board.rng)
+    def __init__(self, ctx: Board) -> None:
+        self._ctx = ctx
+        self._limits = MemberLimits(ctx.cfg, ctx.config, ctx.rng)
         self._routes: dict[str, dict[str, Callable[[dict[str, Any], str], Response]]] = {
             "/v1/jobs": {"POST": self._submit_job},
             "/v1/jobs/": {"GET": self._get_job, "DELETE": self._cancel_job},
@@ -72,7 +72,7 @@
             "/metrics.json": {"GET": self._metrics},
             "/v1/explain/": {"GET": self._explain},
         }
-        if board.me.role == "agent":
+        if ctx.me.role == "agent":
             operators_only = ("/healthz", "/readyz", "/metrics.json")
             self._routes = {path: self._routes[path] for path in operators_only}
 
@@ -108,22 +108,22 @@
     def _submit_job(self, environ: dict[str, Any], _rest: str) -> Response:
         member = self._authenticate(environ)
         wait_s = _wait_of(environ, 0.0)
-        body = read_body(environ, self._board.cfg)
-        submission = read_job(body, self._board.now_ms())
+        body = read_body(environ, self._ctx.cfg)
+        submission = read_job(body, self._ctx.now_ms())
         return self._submit(member, submission, body, wait_s)
 
     def _submit_request(self, environ: dict[str, Any], _rest: str) -> Response:
         member = self._authenticate(environ)
         wait_s = _wait_of(environ, REQUEST_WAIT_S)
-        body = read_body(environ, self._board.cfg)
-        now_ms = self._board.now_ms()
+        body = read_body(environ, self._ctx.cfg)
+        now_ms = self._ctx.now_ms()
         key = environ.get("HTTP_IDEMPOTENCY_KEY")
-        job_id = new_id(now_ms, self._board.rng.getrandbits(74)) if key is None else check_id(key)
+        job_id = new_id(now_ms, self._ctx.rng.getrandbits(74)) if key is None else check_id(key)
         submission = read_request(body, job_id, now_ms)
         return self._submit(member, submission, REQUEST_MARK + body, wait_s)
 
     def _submit(self, member: str, submission: Submission, body: bytes, wait_s: float) -> Response:
-        board = self._board
+        ctx = self._ctx
         self._check(member, submission)
         msg = Submit(
             0,
@@ -137,51 +137,51 @@
             submission.idempotent,
             wait_s > 0,
         )
-        board.metrics.count("requests")
-        self._limits.enter(member, board.now(), len(board.members.alive("entry")))
-        board.dispatcher.inflight += 1
+        ctx.metrics.count("requests")
+        self._limits.enter(member, ctx.now(), len(ctx.members.alive("entry")))
+        ctx.dispatcher.inflight += 1
         try:
-            reply = board.dispatcher.submit(msg, wait_s)
+            reply = ctx.dispatcher.submit(msg, wait_s)
         finally:
-            board.dispatcher.inflight -= 1
+            ctx.dispatcher.inflight -= 1
             self._limits.leave(member)
-        board.metrics.count("answers", label=reply.code.label)
+        ctx.metrics.count("answers", label=reply.code.label)
         logger.bind(job=msg.key, code=int(reply.code)).info("answered")
         return _to_response(reply, submission.job_id)
 
     def _check(self, member: str, submission: Submission) -> None:
-        board = self._board
-        if board.draining:
+        ctx = self._ctx
+        if ctx.draining:
             raise GentianmuxError(ResultCode.DRAINING, retry_after_ms=100)
-        service = board.config.service(submission.service)
+        service = ctx.config.service(submission.service)
         if service is None:
             raise GentianmuxError(ResultCode.UNKNOWN_SERVICE, submission.service[:64])
         if service["member"] != member:
             raise GentianmuxError(ResultCode.NOT_YOUR_SERVICE, submission.service[:64])
-        ahead_ms = submission.submitted_ms - board.now_ms()
-        if submission.submitted_ms != NO_TIME and ahead_ms > board.cfg.skew_ms:
-            detail = f"{ahead_ms} ms ahead, allowed {board.cfg.skew_ms} ms"
+        ahead_ms = submission.submitted_ms - ctx.now_ms()
+        if submission.submitted_ms != NO_TIME and ahead_ms > ctx.cfg.skew_ms:
+            detail = f"{ahead_ms} ms ahead, allowed {ctx.cfg.skew_ms} ms"
             raise GentianmuxError(ResultCode.ID_IN_FUTURE, detail)
 
     def _get_job(self, environ: dict[str, Any], rest: str) -> Response:
         member = self._authenticate(environ)
         wait_s = _wait_of(environ, 0.0)
         job_id = check_id(rest)
-        reply = self._board.dispatcher.query(job_key(member, job_id), wait_s)
+        reply = self._ctx.dispatcher.query(job_key(member, job_id), wait_s)
         return _to_response(reply, job_id)
 
     def _cancel_job(self, environ: dict[str, Any], rest: str) -> Response:
         member = self._authenticate(environ)
         job_id = check_id(rest)
-        reply = self._board.dispatcher.cancel(job_key(member, job_id))
+        reply = self._ctx.dispatcher.cancel(job_key(member, job_id))
         return _to_response(reply, job_id)
 
     def _authenticate(self, environ: dict[str, Any]) -> str:
-        if self._board.config.version < 0:
+        if self._ctx.config.version < 0:
             raise GentianmuxError(ResultCode.CONFIG_MISSING, retry_after_ms=1000)
         scheme, _, key = environ.get("HTTP_AUTHORIZATION", "").partition(" ")
         digest = hashlib.sha256(key.encode("latin-1", "replace")).hexdigest()
-        member = self._board.config.member_by_hash.get(digest)
+        member = self._ctx.config.member_by_hash.get(digest)
         if scheme.lower() != "bearer" or member is None:
             raise GentianmuxError(ResultCode.UNAUTHENTICATED)
         return member
@@ -189,28 +189,28 @@
     # Operators
 
     def _health(self, environ: dict[str, Any], _rest: str) -> Response:
-        return _json(200, {"process": self._board.process, "live": True})
+        return _json(200, {"process": self._ctx.process, "live": True})
 
     def _ready(self, environ: dict[str, Any], _rest: str) -> Response:
-        board = self._board
-        owned = sum(1 for row in board.fleet.shards if row.owner)
+        ctx = self._ctx
+        owned = sum(1 for row in ctx.fleet.shards if row.owner)
         content = {
-            "ready": not board.draining and board.config.version >= 0 and owned > 0,
-            "draining": board.draining,
-            "config_version": board.config.version,
-            "fleet_version": board.fleet.version,
+            "ready": not ctx.draining and ctx.config.version >= 0 and owned > 0,
+            "draining": ctx.draining,
+            "config_version": ctx.config.version,
+            "fleet_version": ctx.fleet.version,
             "shards_owned": owned,
-            "agents": len(board.members.alive("agent")),
+            "agents": len(ctx.members.alive("agent")),
         }
         return _json(200 if content["ready"] else 503, content)
 
     def _metrics(self, environ: dict[str, Any], _rest: str) -> Response:
-        return _json(200, self._board.metrics.snapshot())
+        return _json(200, self._ctx.metrics.snapshot())
 
     def _explain(self, environ: dict[str, Any], rest: str) -> Response:
         member = self._authenticate(environ)
         job_id = check_id(rest)
-        return _to_response(self._board.dispatcher.explain(job_key(member, job_id)), job_id)
+        return _to_response(self._ctx.dispatcher.explain(job_key(member, job_id)), job_id)
 
 
 def _wait_of(environ: dict[str, Any], default: float) -> float:
--- a/src/gentianmux/coordinator.py
+++ b/src/gentianmux/coordinator.py
@@ -38,30 +38,30 @@
 
     Parameters
     ----------
-    board : Board
+    ctx : Board
         The blackboard; this puts itself there as ``coordinator``.
     """
 
-    def __init__(self, board: Board) -> None:
-        board.coordinator = self
+    def __init__(self, ctx: Board) -> None:
+        ctx.coordinator = self
         self.jobs: dict[str, Job] = {}
-        self._repeats = RetryBudget(board.cfg.hedge_percent)
+        self._repeats = RetryBudget(ctx.cfg.hedge_percent)
         self.trails: dict[str, Job] = {}
-        self._board = board
+        self._ctx = ctx
         self._lost_since: dict[str, float] = {}
 
     # Admission
 
     def on_submit(self, msg: Submit, waiter: Waiter) -> None:
         """Rule on a submission: admit, join, answer from the ledger, ask for traces, refuse."""
-        board = self._board
-        shard = board.shard_of(msg.key)
-        refusal = board.keeper.refusal(shard)
+        ctx = self._ctx
+        shard = ctx.shard_of(msg.key)
+        refusal = ctx.keeper.refusal(shard)
         if refusal is not None:
             self._refuse(msg.key, refusal, waiter)
             return
-        ledger = board.keeper.owned[shard].ledger
-        ruling = ledger.rule(msg.key, msg.digest, msg.submitted_ms, board.now_ms())
+        ledger = ctx.keeper.owned[shard].ledger
+        ruling = ledger.rule(msg.key, msg.digest, msg.submitted_ms, ctx.now_ms())
         self.apply_ruling(ruling, msg, waiter)
 
     def apply_ruling(self, ruling: Ruling, msg: Submit, waiter: Waiter) -> None:
@@ -73,32 +73,32 @@
         elif ruling.verdict is Verdict.KEPT:
             self._answer(msg.key, ruling.code, ruling.answer, [waiter])
         elif ruling.verdict is Verdict.ASK:
-            self._board.keeper.ask_traces(msg, waiter)
+            self._ctx.keeper.ask_traces(msg, waiter)
         else:
             self._refuse(msg.key, ruling.code, waiter)
 
     def _admit(self, msg: Submit, waiter: Waiter, attempt: int) -> None:
         try:
-            specs = read_specs(msg, self._board.now_ms())
+            specs = read_specs(msg, self._ctx.now_ms())
         except GentianmuxError as exc:
             self._refuse(msg.key, exc.code, waiter, exc.detail)
             return
-        refusal = self._board.placement.refusal(msg.service, msg.member, specs)
+        refusal = self._ctx.placement.refusal(msg.service, msg.member, specs)
         if refusal is not None:
             self._refuse(msg.key, refusal, waiter)
             return
         job = self._begin(msg, waiter, specs, attempt)
-        self._board.placement.place(job)
+        self._ctx.placement.place(job)
         self._finish_if_done(job)
 
     def _begin(self, msg: Submit, waiter: Waiter, specs: list[TaskSpec], attempt: int) -> Job:
-        board = self._board
-        shard = board.shard_of(msg.key)
-        row = board.fleet.shards[shard]
-        board.keeper.owned[shard].ledger.admit(msg.key, msg.digest, msg.submitted_ms)
-        job = Job(msg, shard, row.epoch, specs, board.now(), attempt)
+        ctx = self._ctx
+        shard = ctx.shard_of(msg.key)
+        row = ctx.fleet.shards[shard]
+        ctx.keeper.owned[shard].ledger.admit(msg.key, msg.digest, msg.submitted_ms)
+        job = Job(msg, shard, row.epoch, specs, ctx.now(), attempt)
         self._repeats.first_try()
-        job.note(board.now(), f"admitted by {board.process} under epoch {row.epoch}")
+        job.note(ctx.now(), f"admitted by {ctx.process} under epoch {row.epoch}")
         self.jobs[msg.key] = job
         self._keep_trail(job)
         if msg.wait:
@@ -119,30 +119,30 @@
         (``whole``); otherwise their outcome is unknown.
         """
         try:
-            specs = read_specs(msg, self._board.now_ms())
+            specs = read_specs(msg, self._ctx.now_ms())
         except GentianmuxError as exc:
             self._refuse(msg.key, exc.code, waiter, exc.detail)
             return
         job = self._begin(msg, waiter, specs, 0)
-        job.note(self._board.now(), f"resumed from the traces of {len(traces)} agents")
+        job.note(self._ctx.now(), f"resumed from the traces of {len(traces)} agents")
         _apply_traces(job, traces)
         for agent, trace in traces.items():
             if trace.running:
-                self._board.placement.loads[agent].mine += len(trace.running)
-                self._board.placement.send_share(job, agent, trace.running)
+                self._ctx.placement.loads[agent].mine += len(trace.running)
+                self._ctx.placement.send_share(job, agent, trace.running)
         if not whole:
             job.end_waiting(ResultCode.TASK_UNKNOWN)
-        self._board.placement.place(job)
+        self._ctx.placement.place(job)
         self._finish_if_done(job)
 
     def on_query(self, msg: Query, waiter: Waiter) -> None:
         """Answer a question for a job's state."""
-        shard = self._board.shard_of(msg.key)
-        refusal = self._board.keeper.refusal(shard)
+        shard = self._ctx.shard_of(msg.key)
+        refusal = self._ctx.keeper.refusal(shard)
         if refusal is not None:
             self._refuse(msg.key, refusal, waiter)
             return
-        ruling = self._board.keeper.owned[shard].ledger.kept(msg.key)
+        ruling = self._ctx.keeper.owned[shard].ledger.kept(msg.key)
         if ruling is None:
             self._refuse(msg.key, ResultCode.JOB_UNKNOWN, waiter)
         elif ruling.verdict is Verdict.JOIN:
@@ -160,12 +160,12 @@
             self.on_query(Query(msg.request, msg.key, False), waiter)
             return
         job.cancelled = True
-        job.note(self._board.now(), "cancelled")
+        job.note(self._ctx.now(), "cancelled")
         job.waiters.add(waiter)
         job.end_waiting(ResultCode.CANCELLED)
-        self._board.placement.backlog.pop(job.key, None)
+        self._ctx.placement.backlog.pop(job.key, None)
         for agent in sorted(job.agents()):
-            self._board.keeper.revoke_soon(agent, job.key)
+            self._ctx.keeper.revoke_soon(agent, job.key)
         self._finish_if_done(job)
 
     def on_explain(self, msg: Explain, waiter: Waiter) -> None:
@@ -174,7 +174,7 @@
         if job is None:
             self._refuse(msg.key, ResultCode.JOB_UNKNOWN, waiter)
         else:
-            self._answer(msg.key, ResultCode.OK, job.explanation(self._board.process), [waiter])
+            self._answer(msg.key, ResultCode.OK, job.explanation(self._ctx.process), [waiter])
 
     def _join(self, key: str, wait: bool, waiter: Waiter) -> None:
         job = self.jobs.get(key)
@@ -189,47 +189,47 @@
         """Take in results, then place what waits."""
         job = self.jobs.get(batch.key)
         if job is None or batch.epoch != job.epoch:
-            self._board.metrics.count("late_results", len(batch.results))
-            self._board.placement.loads[sender].report(batch.load, self._board.now())
+            self._ctx.metrics.count("late_results", len(batch.results))
+            self._ctx.placement.loads[sender].report(batch.load, self._ctx.now())
             return
         for result in batch.results:
             self._take(job, result, sender)
             if job.key not in self.jobs:
                 return
-        self._board.placement.loads[sender].report(batch.load, self._board.now())
+        self._ctx.placement.loads[sender].report(batch.load, self._ctx.now())
         if job.waiting:
-            self._board.placement.place(job)
+            self._ctx.placement.place(job)
         self._finish_if_done(job)
-        self._board.placement.place_soon()
+        self._ctx.placement.place_soon()
 
     def _take(self, job: Job, result: TaskResult, sender: str) -> None:
         if result.code == ResultCode.STALE_EPOCH:
             self.abandon(job)
             return
         if not job.accept(result, sender):
-            self._board.metrics.count("late_results")
+            self._ctx.metrics.count("late_results")
             return
-        self._board.placement.release(sender, 1)
+        self._ctx.placement.release(sender, 1)
         if job.tasks[result.number].phase is Phase.WAITING:
             code = ResultCode(result.code)
-            self._board.placement.on_refused(job, sender, code)
-            job.note(self._board.now(), f"task {result.number} refused by {sender}: {code.label}")
-            self._board.metrics.count("retries")
-            self._board.metrics.count("wasted", label=f"refused_{code.label}")
+            self._ctx.placement.on_refused(job, sender, code)
+            job.note(self._ctx.now(), f"task {result.number} refused by {sender}: {code.label}")
+            self._ctx.metrics.count("retries")
+            self._ctx.metrics.count("wasted", label=f"refused_{code.label}")
         else:
-            self._board.placement.loads[sender].served()
-            self._board.placement.on_ended(sender, job.service, ResultCode(result.code))
+            self._ctx.placement.loads[sender].served()
+            self._ctx.placement.on_ended(sender, job.service, ResultCode(result.code))
 
     def _finish_if_done(self, job: Job) -> None:
         if job.open or job.key not in self.jobs:
             return
-        now = self._board.now()
+        now = self._ctx.now()
         code = job.outcome()
         answer = job.answer(now)
         job.note(now, f"ended: {code.label}")
         del self.jobs[job.key]
-        self._board.placement.backlog.pop(job.key, None)
-        ledger = self._board.keeper.ledger_of(job.shard, job.epoch)
+        self._ctx.placement.backlog.pop(job.key, None)
+        ledger = self._ctx.keeper.ledger_of(job.shard, job.epoch)
         if ledger is not None and job.never_ran() and not job.cancelled:
             ledger.reopen(job.key, 1 + max(task.attempt for task in job.tasks))
         elif ledger is not None:
@@ -241,9 +241,9 @@
         """Give up a job whose shard has a newer owner, and send its waiters there."""
         if self.jobs.pop(job.key, None) is None:
             return
-        self._board.placement.backlog.pop(job.key, None)
+        self._ctx.placement.backlog.pop(job.key, None)
         for agent in sorted(job.agents()):
-            self._board.placement.release(agent, len(job.sent_to(agent)))
+            self._ctx.placement.release(agent, len(job.sent_to(agent)))
         for waiter in sorted(job.waiters):
             self._refuse(job.key, ResultCode.STALE_EPOCH, waiter)
 
@@ -257,16 +257,16 @@
 
     def on_farewell(self, msg: Farewell, sender: str) -> None:
         """Send a leaving agent nothing more, and tell it once it holds none of our tasks."""
-        self._board.placement.leaving.add(sender)
-        self._board.placement.forget(sender)
+        self._ctx.placement.leaving.add(sender)
+        self._ctx.placement.forget(sender)
         if any(sender in job.agents() for job in self.jobs.values()):
             self._resend(sender)
         else:
-            self._board.peers.send(sender, FarewellReply(self._board.process))
+            self._ctx.peers.send(sender, FarewellReply(self._ctx.process))
 
     def on_lost(self, process: str, opened: bool, refused: bool) -> None:
         """React to a closed connection: resend, or end what is lost with its agent."""
-        self._board.placement.forget(process)
+        self._ctx.placement.forget(process)
         held = [job for job in self.jobs.values() if process in job.agents()]
         if not held:
             return
@@ -274,15 +274,15 @@
             for index in job.sent_to(process):
                 job.tasks[index].left |= opened
         fresh = process not in self._lost_since
-        since = self._lost_since.setdefault(process, self._board.now())
+        since = self._lost_since.setdefault(process, self._ctx.now())
         if refused:
             # The log may say that the agent left as planned; time to read it is given first.
-            self._board.read_soon.set()
-            self._board.clock.later(READ_S, self._end_all_lost, process)
-        elif self._board.now() - since > LOST_AFTER_S:
+            self._ctx.read_soon.set()
+            self._ctx.clock.later(READ_S, self._end_all_lost, process)
+        elif self._ctx.now() - since > LOST_AFTER_S:
             self._end_all_lost(process)
-        elif fresh or not self._board.peers.is_connected(process):
-            self._board.clock.later(RESEND_S, self._resend, process)
+        elif fresh or not self._ctx.peers.is_connected(process):
+            self._ctx.clock.later(RESEND_S, self._resend, process)
 
     def _end_all_lost(self, process: str) -> None:
         self._lost_since.pop(process, None)
@@ -292,22 +292,22 @@
     def _resend(self, process: str) -> None:
         """Send again what an agent holds; its start records make a repeat harmless."""
         for job in [job for job in self.jobs.values() if process in job.agents()]:
-            self._board.metrics.count("wasted", label="resend")
-            self._board.placement.send_share(job, process, job.sent_to(process))
+            self._ctx.metrics.count("wasted", label="resend")
+            self._ctx.placement.send_share(job, process, job.sent_to(process))
 
     def _end_lost(self, job: Job, process: str) -> None:
         indexes = job.sent_to(process)
-        job.note(self._board.now(), f"{process} lost with {len(indexes)} tasks")
+        job.note(self._ctx.now(), f"{process} lost with {len(indexes)} tasks")
         # An agent writes that it leaves only when nothing it started is still unreported, so
         # what is thought to be there then was refused.
-        parted = process in self._board.fleet.left
+        parted = process in self._ctx.fleet.left
         for index in indexes:
             if job.tasks[index].left and not parted and not self._may_repeat(job):
                 job.end(index, ResultCode.TASK_UNKNOWN)
             else:
                 job.put_back(index)
-        self._board.placement.release(process, len(indexes))
-        self._board.placement.place(job)
+        self._ctx.placement.release(process, len(indexes))
+        self._ctx.placement.place(job)
         self._finish_if_done(job)
 
     def run_backlog(self) -> None:
@@ -320,35 +320,35 @@
         """Whether a task that may have run may run again: idempotent requests, in a budget."""
         if not job.idempotent or not self._repeats.may_repeat():
             return False
-        self._board.metrics.count("wasted", label="repeated")
+        self._ctx.metrics.count("wasted", label="repeated")
         return True
 
     def step(self) -> None:
         """One round of placing and giving up."""
-        self._board.placement.place_backlog()
+        self._ctx.placement.place_backlog()
         self._end_overdue()
         self._end_silent()
 
     def _end_overdue(self) -> None:
-        now, now_ms = self._board.now(), self._board.now_ms()
-        for job in list(self._board.placement.backlog.values()):
+        now, now_ms = self._ctx.now(), self._ctx.now_ms()
+        for job in list(self._ctx.placement.backlog.values()):
             if 0 <= job.deadline_ms <= now_ms:
                 job.end_waiting(ResultCode.DEADLINE_PASSED)
             elif job.no_agent_since is not None and now - job.no_agent_since > NO_AGENT_S:
                 job.end_waiting(ResultCode.NO_ENDPOINT)
             else:
                 continue
-            self._board.placement.backlog.pop(job.key, None)
+            self._ctx.placement.backlog.pop(job.key, None)
             self._finish_if_done(job)
 
     def _end_silent(self) -> None:
         """Give up tasks at agents that have been thought dead for long."""
         holding = {agent for job in self.jobs.values() for agent in job.agents()}
         for agent in list(self._lost_since):
-            if agent not in holding or self._board.members.is_alive(agent):
+            if agent not in holding or self._ctx.members.is_alive(agent):
                 del self._lost_since[agent]
         for agent in sorted(holding):
-            if self._board.members.state_of(agent) in (State.DEAD, None):
+            if self._ctx.members.state_of(agent) in (State.DEAD, None):
                 self.on_lost(agent, opened=True, refused=False)
 
     # Answers
@@ -368,7 +368,7 @@
         self, waiter: Waiter, key: str, code: ResultCode, detail: str, final: bool, body: bytes
     ) -> None:
         msg = Answer(waiter.request, key, int(code), detail, 0, final, body)
-        self._board.peers.send(waiter.process, msg)
+        self._ctx.peers.send(waiter.process, msg)
 
 
 def read_specs(msg: Submit, now_ms: int) -> list[TaskSpec]:
--- a/src/gentianmux/dispatcher.py
+++ b/src/gentianmux/dispatcher.py
@@ -46,14 +46,14 @@
 
     Parameters
     ----------
-    board : Board
+    ctx : Board
         The blackboard; this puts itself there as ``dispatcher``.
     """
 
-    def __init__(self, board: Board) -> None:
-        board.dispatcher = self
+    def __init__(self, ctx: Board) -> None:
+        ctx.dispatcher = self
         self.inflight = 0
-        self._board = board
+        self._ctx = ctx
         self._pending: dict[int, _Pending] = {}
         self._next = 0
 
@@ -83,37 +83,37 @@
 
     def _ask(self, msg: Question, wait_s: float, may_run: bool) -> Reply:
         """Ask owner after owner until one answers, time is up, or none can be found."""
-        board = self._board
-        began = board.now()
+        ctx = self._ctx
+        began = ctx.now()
         unsure = False
         while True:
-            left_s = began + wait_s - board.now()
+            left_s = began + wait_s - ctx.now()
             asked = self._ask_once(msg, left_s)
             if asked.answer is not None and asked.answer.code not in TRY_AGAIN:
                 return _to_reply(asked.answer)
-            if asked.sent and board.now() >= began + wait_s:
+            if asked.sent and ctx.now() >= began + wait_s:
                 return Reply(ResultCode.ACCEPTED)
             # An owner that was lost after it was asked, or gave the job up, may have begun it.
             lost = asked.sent and asked.answer is None
             gave_up = asked.answer is not None and asked.answer.code == ResultCode.STALE_EPOCH
             unsure = unsure or lost or gave_up
-            if board.now() >= began + min(wait_s, PATIENCE_S):
+            if ctx.now() >= began + min(wait_s, PATIENCE_S):
                 return _give_up(may_run and unsure)
             gevent.sleep(RETRY_S)
 
     def _ask_once(self, msg: Question, wait_s: float) -> "_Asked":
         """Ask the present owner; no answer when there is none, it is lost, or time is up."""
-        board = self._board
-        shard = board.shard_of(msg.key)
-        owner = board.fleet.shards[shard].owner
-        if not owner or board.address_of(owner) is None:
+        ctx = self._ctx
+        shard = ctx.shard_of(msg.key)
+        owner = ctx.fleet.shards[shard].owner
+        if not owner or ctx.address_of(owner) is None:
             return _Asked(False, None)
         self._next += 1
         number = self._next
         fut: AsyncResult = AsyncResult()
         self._pending[number] = _Pending(owner, shard, fut)
         try:
-            if not board.peers.send(owner, msg._replace(request=number)):
+            if not ctx.peers.send(owner, msg._replace(request=number)):
                 return _Asked(False, None)
             return _Asked(True, fut.get(timeout=max(0.0, wait_s)))
         except gevent.Timeout:
@@ -125,14 +125,14 @@
         """Hand an answer to the one that asked; a late one is dropped."""
         pending = self._pending.get(msg.request)
         if pending is None:
-            self._board.metrics.count("wasted", label="late_answer")
+            self._ctx.metrics.count("wasted", label="late_answer")
             return
         pending.fut.set(msg)
 
     def on_fleet(self) -> None:
         """Wake those who wait for a process that no longer owns their shard."""
         for pending in list(self._pending.values()):
-            if self._board.fleet.shards[pending.shard].owner != pending.owner:
+            if self._ctx.fleet.shards[pending.shard].owner != pending.owner:
                 pending.fut.set(None)
 
     def on_lost(self, process: str, opened: bool) -> None:
--- a/src/gentianmux/executor.py
+++ b/src/gentianmux/executor.py
@@ -49,21 +49,21 @@
 
     Parameters
     ----------
-    board : Board
+    ctx : Board
         The blackboard; this puts itself there as ``executor``.
     """
 
-    def __init__(self, board: Board) -> None:
-        board.executor = self
-        self.records = StartRecords(board.cfg.keep_s * 1000)
+    def __init__(self, ctx: Board) -> None:
+        ctx.executor = self
+        self.records = StartRecords(ctx.cfg.keep_s * 1000)
         self.running: dict[str, tuple[JobRecord, TaskRecord]] = {}
         self._records_held_by = ""
         self._asked_records = float("-inf")
         self._flushing: set[str] = set()
         self._farewells: set[str] = set()
         self._asked_farewell = float("-inf")
-        self._board = board
-        self._endpoint = EndpointClient(board.cfg)
+        self._ctx = ctx
+        self._endpoint = EndpointClient(ctx.cfg)
         self._queue = FairQueue[tuple[JobRecord, TaskRecord] | Reservation](self._weight)
         self._offers: dict[int, str] = {}
         self._held: Counter[str] = Counter()
@@ -76,8 +76,8 @@
 
     def on_batch(self, batch: StartBatch, sender: str) -> None:
         """Take in a job's share of tasks."""
-        board = self._board
-        offer = self.records.offer(batch, sender, board.now(), board.now_ms())
+        ctx = self._ctx
+        offer = self.records.offer(batch, sender, ctx.now(), ctx.now_ms())
         if offer.refused:
             self._send(sender, batch.key, batch.epoch, offer.refused)
         if offer.job is None:
@@ -98,7 +98,7 @@
                 self._flush(self.records.jobs[key])
         if running:
             names = [task_name(key, task) for key, task in running]
-            self._board.clock.soon(self._endpoint.stop, names)
+            self._ctx.clock.soon(self._endpoint.stop, names)
 
     def on_trace_query(self, query: TraceQuery, sender: str) -> None:
         """Say what is known of keys; the older epochs of the shard are fenced from here on."""
@@ -106,11 +106,11 @@
             self._flush(job, at_once=True)
         reply = TraceReply(
             query.query,
-            self._board.process,
+            self._ctx.process,
             self.records.forgotten_ms,
             self.records.traces(query.keys),
         )
-        self._board.peers.send(sender, reply)
+        self._ctx.peers.send(sender, reply)
 
     def is_idle(self) -> bool:
         """Whether no task runs or waits."""
@@ -122,15 +122,15 @@
         A frame that is still on its way here is thereby answered before this process ends, so
         its tasks are known not to have run.
         """
-        board = self._board
-        others = {each.process for each in board.members.alive("agent")}
+        ctx = self._ctx
+        others = {each.process for each in ctx.members.alive("agent")}
         known = {job.coordinator for job in self.records.jobs.values()}
-        others |= {process for process in known if board.members.is_alive(process)}
-        left = others - self._farewells - {board.process}
-        if board.now() - self._asked_farewell > FAREWELL_AGAIN_S:
-            self._asked_farewell = board.now()
+        others |= {process for process in known if ctx.members.is_alive(process)}
+        left = others - self._farewells - {ctx.process}
+        if ctx.now() - self._asked_farewell > FAREWELL_AGAIN_S:
+            self._asked_farewell = ctx.now()
             for process in sorted(left):
-                board.peers.send(process, Farewell(board.process))
+                ctx.peers.send(process, Farewell(ctx.process))
         return not left
 
     def on_farewell_reply(self, msg: FarewellReply) -> None:
@@ -141,18 +141,18 @@
         """Give the start records to another agent; true once it holds them all."""
         if self._records_held_by == target:
             return True
-        now = self._board.now()
+        now = self._ctx.now()
         if now - self._asked_records > FAREWELL_AGAIN_S:
             self._asked_records = now
-            for part in _record_parts(self._board.process, self.records):
-                self._board.peers.send(target, part)
+            for part in _record_parts(self._ctx.process, self.records):
+                self._ctx.peers.send(target, part)
         return False
 
     def on_records(self, msg: RecordsHandover, sender: str) -> None:
         """Take in the start records of an agent that is leaving."""
-        self.records.load(msg.jobs, msg.forgotten_ms, self._board.now())
-        if msg.last and not self._board.draining:
-            self._board.peers.send(sender, RecordsReply(self._board.process))
+        self.records.load(msg.jobs, msg.forgotten_ms, self._ctx.now())
+        if msg.last and not self._ctx.draining:
+            self._ctx.peers.send(sender, RecordsReply(self._ctx.process))
 
     def on_records_reply(self, msg: RecordsReply) -> None:
         """Note who holds this agent's start records now."""
@@ -160,23 +160,23 @@
 
     def run_renewals(self) -> None:
         """Renew the leases of long tasks for as long as the process lives."""
-        period_s = self._board.cfg.task_lease_ms / 1000 / RENEWALS_A_LEASE
+        period_s = self._ctx.cfg.task_lease_ms / 1000 / RENEWALS_A_LEASE
         while True:
             gevent.sleep(period_s)
-            now = self._board.now()
+            now = self._ctx.now()
             names = [
                 name for name, (_, record) in self.running.items() if now - record.since > period_s
             ]
             if names:
-                self._board.clock.soon(self._endpoint.renew, names)
+                self._ctx.clock.soon(self._endpoint.renew, names)
 
     def _may_run(self, member: str) -> bool:
         """Whether a member holds fewer slots here than its part of its claim."""
-        part = self._board.claims.part(member, self._board.me.name, self._board.now())
+        part = self._ctx.claims.part(member, self._ctx.me.name, self._ctx.now())
         return part is None or self._held[member] < part
 
     def _weight(self, member: str) -> int:
-        rules = self._board.config.member(member)
+        rules = self._ctx.config.member(member)
         return 1 if rules is None else rules.get("weight", 1)
 
     def _admit(self, job: JobRecord, record: TaskRecord, how: int, held: bool) -> None:
@@ -195,15 +195,15 @@
 
     def _is_full(self, member: str) -> bool:
         used = len(self.running) + len(self._offers)
-        return used + len(self._queue) >= self._board.cfg.slots or not self._may_run(member)
+        return used + len(self._queue) >= self._ctx.cfg.slots or not self._may_run(member)
 
     # Reservations
 
     def on_reserve(self, msg: Reserve, sender: str) -> None:
         """Keep places in the queue for tasks that wait at their coordinator."""
-        if self._board.draining:
+        if self._ctx.draining:
             return
-        room = self._board.cfg.queue_limit - self._queue.waiting(msg.member)
+        room = self._ctx.cfg.queue_limit - self._queue.waiting(msg.member)
         for _ in range(min(msg.slots, room)):
             reservation = Reservation(msg.key, msg.epoch, sender)
             self._queue.push(msg.member, reservation, msg.size_ms or DEFAULT_COST_MS)
@@ -214,34 +214,34 @@
         self._end_offer(msg.number)
 
     def _offer(self, member: str, reservation: Reservation) -> None:
-        if not self._board.members.is_alive(reservation.coordinator):
+        if not self._ctx.members.is_alive(reservation.coordinator):
             return
         self._next_offer += 1
         number = self._next_offer
         self._offers[number] = member
         self._held[member] += 1
-        self._board.peers.send(reservation.coordinator, Offer(reservation.key, number))
-        self._board.clock.later(OFFER_S, self._end_offer, number, "offer_lapsed")
+        self._ctx.peers.send(reservation.coordinator, Offer(reservation.key, number))
+        self._ctx.clock.later(OFFER_S, self._end_offer, number, "offer_lapsed")
 
     def _end_offer(self, number: int, wasted: str = "") -> None:
         if number not in self._offers:
             return
         self._held[self._offers.pop(number)] -= 1
         if wasted:
-            self._board.metrics.count("wasted", label=wasted)
+            self._ctx.metrics.count("wasted", label=wasted)
         self._pump()
 
     # Starting
 
     def _refusal(self, job: JobRecord) -> ResultCode | None:
-        if self._board.draining:
+        if self._ctx.draining:
             return ResultCode.DRAINING
-        if self._queue.waiting(job.member) >= self._board.cfg.queue_limit:
+        if self._queue.waiting(job.member) >= self._ctx.cfg.queue_limit:
             return ResultCode.QUEUE_FULL
         return None
 
     def _pump(self) -> None:
-        while len(self.running) + len(self._offers) < self._board.cfg.slots:
+        while len(self.running) + len(self._offers) < self._ctx.cfg.slots:
             popped = self._queue.pop(self._may_run)
             if popped is None:
                 return
@@ -249,22 +249,22 @@
                 self._offer(popped[0], popped[1])
                 continue
             job, record = popped[1]
-            if job.deadline_ms >= 0 and self._board.now_ms() >= job.deadline_ms:
+            if job.deadline_ms >= 0 and self._ctx.now_ms() >= job.deadline_ms:
                 self.records.refuse(job, record, ResultCode.DEADLINE_PASSED)
                 self._flush(job)
             else:
                 self._start(job, record)
 
     def _start(self, job: JobRecord, record: TaskRecord) -> None:
-        if self.records.begin(job, record, self._board.now()):
+        if self.records.begin(job, record, self._ctx.now()):
             self.running[task_name(job.key, record.task)] = (job, record)
             self._held[job.member] += 1
-            self._board.metrics.count("starts")
+            self._ctx.metrics.count("starts")
             self.launch(job, record)
 
     def launch(self, job: JobRecord, record: TaskRecord) -> None:
         """Run a task at the endpoint without waiting for it."""
-        self._board.clock.soon(self._run, job, record)
+        self._ctx.clock.soon(self._run, job, record)
 
     def _run(self, job: JobRecord, record: TaskRecord) -> None:
         try:
@@ -276,11 +276,11 @@
 
     def on_ended(self, job: JobRecord, record: TaskRecord, run: Run) -> None:
         """Take in how a task ended."""
-        ran_ms = (self._board.now() - record.since) * 1000
+        ran_ms = (self._ctx.now() - record.since) * 1000
         result = TaskResult(
             record.task.number, record.attempt, int(run.code), run.output, 0.0, ran_ms
         )
-        self._board.metrics.count("results", label=run.code.label)
+        self._ctx.metrics.count("results", label=run.code.label)
         self.records.finish(job, record, result)
         del self.running[task_name(job.key, record.task)]
         self._held[job.member] -= 1
@@ -288,10 +288,10 @@
         self._flush(job)
 
     def _time_left_s(self, job: JobRecord) -> float:
-        longest_s = self._board.cfg.task_timeout_ms / 1000
+        longest_s = self._ctx.cfg.task_timeout_ms / 1000
         if job.deadline_ms < 0:
             return longest_s
-        return min(longest_s, max(0.001, (job.deadline_ms - self._board.now_ms()) / 1000))
+        return min(longest_s, max(0.001, (job.deadline_ms - self._ctx.now_ms()) / 1000))
 
     def _flush(self, job: JobRecord, at_once: bool = False) -> None:
         if not job.unsent or (job.open and not job.eager and not at_once):
@@ -306,14 +306,14 @@
         """Send results of a job that goes on together with those of the next moment."""
         if job.key not in self._flushing:
             self._flushing.add(job.key)
-            self._board.clock.later(GATHER_S, self._flush_gathered, job)
+            self._ctx.clock.later(GATHER_S, self._flush_gathered, job)
 
     def _flush_gathered(self, job: JobRecord) -> None:
         self._flushing.discard(job.key)
         self._flush(job, at_once=True)
 
     def _send(self, process: str, key: str, epoch: int, results: list[TaskResult]) -> None:
-        self._board.peers.send(process, ResultBatch(key, epoch, self.load, results))
+        self._ctx.peers.send(process, ResultBatch(key, epoch, self.load, results))
 
 
 def _record_parts(process: str, records: StartRecords) -> Iterator[RecordsHandover]:
--- a/src/gentianmux/gossip.py
+++ b/src/gentianmux/gossip.py
@@ -21,15 +21,15 @@
 
     Parameters
     ----------
-    board : Board
+    ctx : Board
         The blackboard.
     """
 
-    def __init__(self, board: Board) -> None:
-        self._board = board
-        ip, _, port = board.cfg.peer_address.partition(":")
+    def __init__(self, ctx: Board) -> None:
+        self._ctx = ctx
+        ip, _, port = ctx.cfg.peer_address.partition(":")
         self._server = DatagramServer((ip, int(port)), self._take)
-        self._key = board.cfg.peer_key.encode()
+        self._key = ctx.cfg.peer_key.encode()
         self._ticks = 0
 
     def start(self) -> None:
@@ -43,16 +43,16 @@
     def run(self) -> None:
         """Probe one process a period, for as long as the process lives."""
         while True:
-            gevent.sleep(self._board.cfg.probe_ms / 1000)
+            gevent.sleep(self._ctx.cfg.probe_ms / 1000)
             self.tick()
 
     def tick(self) -> None:
         """One period: probes, and now and then a greeting to the seeds."""
-        members = self._board.members
-        self.send(members.tick(self._board.now()))
+        members = self._ctx.members
+        self.send(members.tick(self._ctx.now()))
         if self._ticks % SEED_EVERY_TICKS == 0:
             known = {each.address for each in members.alive()}
-            strangers = [seed for seed in self._board.cfg.seeds if seed not in known]
+            strangers = [seed for seed in self._ctx.cfg.seeds if seed not in known]
             self.send([members.greet(seed) for seed in strangers])
         self._ticks += 1
 
@@ -64,22 +64,22 @@
                 each = each._replace(gossip=_shorter(each.gossip))
                 data = seal(encode(each.gossip), self._key)
             ip, _, port = each.address.partition(":")
-            self._board.metrics.count("datagrams_out")
-            self._board.metrics.count("datagram_bytes", len(data))
+            self._ctx.metrics.count("datagrams_out")
+            self._ctx.metrics.count("datagram_bytes", len(data))
             try:
                 self._server.sendto(data, (ip, int(port)))
             except OSError:
-                self._board.metrics.count("wasted", label="datagram_unsent")
+                self._ctx.metrics.count("wasted", label="datagram_unsent")
 
     def _take(self, data: bytes, address: Any) -> None:
         try:
             msg = decode(unseal(data, self._key))
         except FrameError:
-            self._board.metrics.count("bad_frames")
+            self._ctx.metrics.count("bad_frames")
             return
         if isinstance(msg, Gossip):
             source = f"{address[0]}:{address[1]}"
-            self.send(self._board.members.receive(msg, source, self._board.now()))
+            self.send(self._ctx.members.receive(msg, source, self._ctx.now()))
 
 
 def _shorter(gossip: Gossip) -> Gossip:
--- a/src/gentianmux/handlers.py
+++ b/src/gentianmux/handlers.py
@@ -37,14 +37,14 @@
 
 
 @singledispatch
-def handle(msg: Message, board: Board, sender: str) -> None:
+def handle(msg: Message, ctx: Board, sender: str) -> None:
     """Hand a message to the controller it is for; must not block.
 
     Parameters
     ----------
     msg : Message
         What a peer sent.
-    board : Board
+    ctx : Board
         The blackboard.
     sender : str
         The process that sent it.
@@ -54,127 +54,127 @@
 
 
 @handle.register
-def _(msg: Answer, board: Board, sender: str) -> None:
-    board.dispatcher.on_answer(msg)
+def _(msg: Answer, ctx: Board, sender: str) -> None:
+    ctx.dispatcher.on_answer(msg)
 
 
 @handle.register
-def _(msg: Submit, board: Board, sender: str) -> None:
-    board.coordinator.on_submit(msg, Waiter(sender, msg.request))
+def _(msg: Submit, ctx: Board, sender: str) -> None:
+    ctx.coordinator.on_submit(msg, Waiter(sender, msg.request))
 
 
 @handle.register
-def _(msg: Query, board: Board, sender: str) -> None:
-    board.coordinator.on_query(msg, Waiter(sender, msg.request))
+def _(msg: Query, ctx: Board, sender: str) -> None:
+    ctx.coordinator.on_query(msg, Waiter(sender, msg.request))
 
 
 @handle.register
-def _(msg: Cancel, board: Board, sender: str) -> None:
-    board.coordinator.on_cancel(msg, Waiter(sender, msg.request))
+def _(msg: Cancel, ctx: Board, sender: str) -> None:
+    ctx.coordinator.on_cancel(msg, Waiter(sender, msg.request))
 
 
 @handle.register
-def _(msg: Explain, board: Board, sender: str) -> None:
-    board.coordinator.on_explain(msg, Waiter(sender, msg.request))
+def _(msg: Explain, ctx: Board, sender: str) -> None:
+    ctx.coordinator.on_explain(msg, Waiter(sender, msg.request))
 
 
 @handle.register
-def _(msg: StartBatch, board: Board, sender: str) -> None:
-    board.executor.on_batch(msg, sender)
+def _(msg: StartBatch, ctx: Board, sender: str) -> None:
+    ctx.executor.on_batch(msg, sender)
 
 
 @handle.register
-def _(msg: Reserve, board: Board, sender: str) -> None:
-    board.executor.on_reserve(msg, sender)
+def _(msg: Reserve, ctx: Board, sender: str) -> None:
+    ctx.executor.on_reserve(msg, sender)
 
 
 @handle.register
-def _(msg: Offer, board: Board, sender: str) -> None:
-    board.placement.on_offer(msg, sender)
+def _(msg: Offer, ctx: Board, sender: str) -> None:
+    ctx.placement.on_offer(msg, sender)
 
 
 @handle.register
-def _(msg: Decline, board: Board, sender: str) -> None:
-    board.executor.on_decline(msg)
+def _(msg: Decline, ctx: Board, sender: str) -> None:
+    ctx.executor.on_decline(msg)
 
 
 @handle.register
-def _(msg: ResultBatch, board: Board, sender: str) -> None:
-    board.coordinator.on_results(msg, sender)
+def _(msg: ResultBatch, ctx: Board, sender: str) -> None:
+    ctx.coordinator.on_results(msg, sender)
 
 
 @handle.register
-def _(msg: Revoke, board: Board, sender: str) -> None:
-    board.executor.on_revoke(msg.keys)
+def _(msg: Revoke, ctx: Board, sender: str) -> None:
+    ctx.executor.on_revoke(msg.keys)
 
 
 @handle.register
-def _(msg: TraceQuery, board: Board, sender: str) -> None:
-    board.executor.on_trace_query(msg, sender)
+def _(msg: TraceQuery, ctx: Board, sender: str) -> None:
+    ctx.executor.on_trace_query(msg, sender)
 
 
 @handle.register
-def _(msg: TraceReply, board: Board, sender: str) -> None:
-    board.keeper.on_trace_reply(msg)
+def _(msg: TraceReply, ctx: Board, sender: str) -> None:
+    ctx.keeper.on_trace_reply(msg)
 
 
 @handle.register
-def _(msg: LeaseRequest, board: Board, sender: str) -> None:
-    board.keeper.on_lease_request(msg, sender)
+def _(msg: LeaseRequest, ctx: Board, sender: str) -> None:
+    ctx.keeper.on_lease_request(msg, sender)
 
 
 @handle.register
-def _(msg: LeaseGrant, board: Board, sender: str) -> None:
-    board.keeper.on_lease_grant(msg)
+def _(msg: LeaseGrant, ctx: Board, sender: str) -> None:
+    ctx.keeper.on_lease_grant(msg)
 
 
 @handle.register
-def _(msg: LedgerHandover, board: Board, sender: str) -> None:
-    board.keeper.moves.on_handover(msg, sender)
+def _(msg: LedgerHandover, ctx: Board, sender: str) -> None:
+    ctx.keeper.moves.on_handover(msg, sender)
 
 
 @handle.register
-def _(msg: HandoverReply, board: Board, sender: str) -> None:
-    board.keeper.moves.on_handover_reply(msg, sender)
+def _(msg: HandoverReply, ctx: Board, sender: str) -> None:
+    ctx.keeper.moves.on_handover_reply(msg, sender)
 
 
 @handle.register
-def _(msg: Farewell, board: Board, sender: str) -> None:
-    board.coordinator.on_farewell(msg, sender)
+def _(msg: Farewell, ctx: Board, sender: str) -> None:
+    ctx.coordinator.on_farewell(msg, sender)
 
 
 @handle.register
-def _(msg: FarewellReply, board: Board, sender: str) -> None:
-    board.executor.on_farewell_reply(msg)
+def _(msg: FarewellReply, ctx: Board, sender: str) -> None:
+    ctx.executor.on_farewell_reply(msg)
 
 
 @handle.register
-def _(msg: StatePull, board: Board, sender: str) -> None:
-    board.watch.on_pull(msg, sender)
+def _(msg: StatePull, ctx: Board, sender: str) -> None:
+    ctx.watch.on_pull(msg, sender)
 
 
 @handle.register
-def _(msg: StateBody, board: Board, sender: str) -> None:
-    board.watch.on_body(msg)
+def _(msg: StateBody, ctx: Board, sender: str) -> None:
+    ctx.watch.on_body(msg)
 
 
 @handle.register
-def _(msg: RecordsHandover, board: Board, sender: str) -> None:
-    board.executor.on_records(msg, sender)
+def _(msg: RecordsHandover, ctx: Board, sender: str) -> None:
+    ctx.executor.on_records(msg, sender)
 
 
 @handle.register
-def _(msg: RecordsReply, board: Board, sender: str) -> None:
-    board.executor.on_records_reply(msg)
+def _(msg: RecordsReply, ctx: Board, sender: str) -> None:
+    ctx.executor.on_records_reply(msg)
 
 
-def on_lost(process: str, conn: Conn, board: Board) -> None:
+def on_lost(process: str, conn: Conn, ctx: Board) -> None:
     """Tell the controllers that a connection closed."""
-    if board.is_agent:
-        board.coordinator.on_lost(process, conn.opened, conn.refused)
-    if board.me.role != "agent":
-        board.dispatcher.on_lost(process, conn.opened)
+    if ctx.is_agent:
+        ctx.coordinator.on_lost(process, conn.opened, conn.refused)
+    if ctx.me.role != "agent":
+        ctx.dispatcher.on_lost(process, conn.opened)
     if conn.refused:
-        board.witness.on_refused(process)
+        ctx.witness.on_refused(process)
     elif conn.opened:
-        board.peers.knock(process)
+        ctx.peers.knock(process)
--- a/src/gentianmux/leased/admitting.py
+++ b/src/gentianmux/leased/admitting.py
@@ -23,7 +23,7 @@
 
     Parameters
     ----------
-    board : EntryBoard
+    ctx : EntryBoard
         The jobs and the agents.
 
     Attributes
@@ -32,9 +32,9 @@
         The decisions of each service.
     """
 
-    def __init__(self, board: EntryBoard) -> None:
+    def __init__(self, ctx: EntryBoard) -> None:
         self.admissions: defaultdict[str, Admission] = defaultdict(Admission)
-        self._board = board
+        self._ctx = ctx
         self._no_agent_since: dict[str, float] = {}
 
     def decide(self, now: float) -> None:
@@ -42,17 +42,17 @@
 
         The backlog is gone through only when a job in it is due, not each few ms.
         """
-        for service in self._board.backlog.services():
+        for service in self._ctx.backlog.services():
             admission = self.admissions[service]
-            if now >= admission.next_due or not self._board.view.is_served(service, now):
+            if now >= admission.next_due or not self._ctx.view.is_served(service, now):
                 self._decide_service(service, admission, now)
 
     def _decide_service(self, service: str, admission: Admission, now: float) -> None:
-        view = self._board.view
+        view = self._ctx.view
         entries = max(1, view.entries(now))
-        jobs = self._board.backlog.of(service)
+        jobs = self._ctx.backlog.of(service)
         capacity = view.capacity_cpu(service, now) / entries
-        if self._board.window.is_limiting(now):
+        if self._ctx.window.is_limiting(now):
             # More cannot be sent, however many endpoints stand idle.
             capacity = min(capacity, admission.begun_cpu(now))
         if not capacity:
@@ -67,22 +67,22 @@
     def _reorder(self, jobs: list[JobState]) -> None:
         """Let jobs that will be served late wait behind the others."""
         for job in jobs:
-            self._board.backlog.put(job)
+            self._ctx.backlog.put(job)
 
     def _carry_out(self, decision: Decision, now: float, entries: int) -> None:
         for job in decision.kept:
             job.prospect = Prospect.TIMELY
         for job in decision.late:
             job.prospect = Prospect.LATE
-            self._board.metrics.count("jobs_late_decided")
+            self._ctx.metrics.count("jobs_late_decided")
             logger.bind(
                 job=job.spec.job_id,
                 slack_ms=round((job.latest_start - now) * 1000),
                 useful_ms=round((job.last_useful_start - now) * 1000),
             ).info("late service decided")
         for job in decision.given_up:
-            self._board.metrics.count("jobs_kept_in_vain", label=job.prospect.value)
-            self._board.give_up(job, "waited until its answer would be of no use")
+            self._ctx.metrics.count("jobs_kept_in_vain", label=job.prospect.value)
+            self._ctx.give_up(job, "waited until its answer would be of no use")
         for job, load in decision.refused:
             logger.bind(
                 job=job.spec.job_id,
@@ -93,16 +93,16 @@
                 useful_ms=round((job.last_useful_start - now) * 1000),
                 entries=entries,
             ).info("refusal decided")
-            self._board.give_up(job, "its answer would be of no use", retry_after_s(load))
+            self._ctx.give_up(job, "its answer would be of no use", retry_after_s(load))
 
     def _refuse_without_agents(self, service: str, jobs: list[JobState], now: float) -> None:
-        if self._board.view.is_evacuated(service, now):
+        if self._ctx.view.is_evacuated(service, now):
             # Nothing that could come within a job's time limit would change that.
             for job in jobs:
                 reason = "every endpoint of its service is evacuated"
-                self._board.give_up(job, reason, LONGEST_RETRY_S)
+                self._ctx.give_up(job, reason, LONGEST_RETRY_S)
             return
         since = self._no_agent_since.setdefault(service, now)
         for job in jobs:
             if now - max(since, job.arrived) > NO_AGENT_S:
-                self._board.give_up(job, "no agent serves its service")
+                self._ctx.give_up(job, "no agent serves its service")
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -22,7 +22,7 @@
     Withdraw,
 )
 from ..metrics import Metrics
-from .agent_board import AgentBoard
+from .agent_context import AgentContext
 from .chain import REPORT_S
 from .config_feed import ConfigFeed
 from .config_handing import ConfigHanding
@@ -40,7 +40,7 @@
     How,
 )
 from .payloads import unpack
-from .room import Room
+from .resources import Resources
 from .run_starts import RunStarts
 from .run_stops import RunStops
 from .run_table import Finished, RunTable
@@ -91,28 +91,28 @@
         metrics: Metrics,
         clock: Clock,
     ) -> None:
-        board = AgentBoard(cfg, driver, links, feed, metrics, clock)
-        self._board = board
+        ctx = AgentContext(cfg, driver, links, feed, metrics, clock)
+        self._ctx = ctx
         self._handing = ConfigHanding(feed, links, clock)
         self._sharing = EvacuationSharing(feed.evacuations, links, self._on_evacuations)
         self._idle_since: float | None = None
         self.on_endpoint: Callable[[EndpointReport | None], None] = lambda report: None
-        self._stops = RunStops(board)
-        self._starts = RunStarts(board, self._stops)
-        self._watch = RunWatch(board, self._stops)
-        board.tracker = EndpointTracker(
-            cfg, driver, board.table, feed, metrics, TrackerHooks(self._on_turn, self._on_news)
+        self._stops = RunStops(ctx)
+        self._starts = RunStarts(ctx, self._stops)
+        self._watch = RunWatch(ctx, self._stops)
+        ctx.tracker = EndpointTracker(
+            cfg, driver, ctx.table, feed, metrics, TrackerHooks(self._on_turn, self._on_news)
         )
         hooks = LookHooks(
             self._stops.stop_unechoed,
-            partial(self._follow, board.tracker.detach),
-            partial(self._follow, board.tracker.started_again),
+            partial(self._follow, ctx.tracker.detach),
+            partial(self._follow, ctx.tracker.started_again),
             self._on_looked,
             self._on_silence,
         )
-        board.looks = EndpointLooks(driver, board.table, metrics, clock, board.lease_s, hooks)
-        board.reports = EntryReports(links, clock, self._load, board.has_runs_of)
-        self._chain = board.reports.chain
+        ctx.looks = EndpointLooks(driver, ctx.table, metrics, clock, ctx.lease_s, hooks)
+        ctx.reports = EntryReports(links, clock, self._load, ctx.has_runs_of)
+        self._chain = ctx.reports.chain
         links.on_open = self._on_open
         links.on_close = self._on_close
         links.on_message = self.on_message
@@ -122,41 +122,41 @@
     @property
     def report(self) -> EndpointReport | None:
         """The newest heartbeat of the endpoint at work."""
-        return self._board.report
+        return self._ctx.report
 
     @property
     def tracker(self) -> EndpointTracker:
         """What follows the endpoint."""
-        return self._board.tracker
+        return self._ctx.tracker
 
     @property
     def looks(self) -> EndpointLooks:
         """What looks at the endpoint."""
-        return self._board.looks
+        return self._ctx.looks
 
     @property
     def table(self) -> RunTable:
         """The account of the endpoint's runs."""
-        return self._board.table
+        return self._ctx.table
 
     @property
     def health(self) -> EndpointHealth:
         """How the endpoint's runs fare."""
-        return self._board.health
+        return self._ctx.health
 
     def on_report(self, report: EndpointReport) -> None:
         """Take in a heartbeat of the endpoint beside this agent."""
-        self._follow(self._board.tracker.hear, report)
+        self._follow(self._ctx.tracker.hear, report)
         if self.report is report and report.draining:
             self._watch.move_what_cannot_end(report.drain_remaining_s)
 
     def on_unreadable(self, endpoint: str, reason: str) -> None:
         """Pass over a heartbeat that says nothing usable."""
-        self._board.tracker.unreadable(endpoint, reason)
+        self._ctx.tracker.unreadable(endpoint, reason)
 
     def on_left(self, endpoint: str, born: int = 0) -> None:
         """Take in an endpoint's word that it ends; ``born`` is 0 where its start is not told."""
-        self._follow(self._board.tracker.farewell, endpoint, born)
+        self._follow(self._ctx.tracker.farewell, endpoint, born)
 
     def _follow(self, change: Callable[..., None], *args: Any) -> None:
         """Change what is known of the endpoint, and tell entries if that changes its state."""
@@ -164,56 +164,58 @@
         change(*args)
         if self._state() != before:
             self._tell_state()
-            self._board.reports.load_soon()
+            self._ctx.reports.load_soon()
 
     def _on_turn(self, endpoint: str, finished: list[Finished]) -> None:
         """Follow another life of the endpoint, or none: what was known of the last one ends."""
-        self._board.health = EndpointHealth()
+        self._ctx.health = EndpointHealth()
         if endpoint:
-            self._board.looks.turn_to(endpoint)
+            self._ctx.looks.turn_to(endpoint)
         else:
-            self._board.looks.turn_away()
-        self._board.end_all(finished)
+            self._ctx.looks.turn_away()
+        self._ctx.end_all(finished)
 
     def _on_news(self, report: EndpointReport | None) -> None:
         if report is not None:
-            self._board.reports.grants.late_reserve = Room(int(report.capacity.cpu * LATE_RESERVE))
+            self._ctx.reports.grants.late_reserve = Resources(
+                int(report.capacity.cpu * LATE_RESERVE)
+            )
         self.on_endpoint(report)
 
     @property
     def is_accepting(self) -> bool:
         """Whether new runs may begin here."""
-        return self._board.is_accepting
+        return self._ctx.is_accepting
 
     def run_loops(self) -> list[gevent.Greenlet]:
         """Spawn the loops of this controller."""
-        return [gevent.spawn(self._board.looks.run), gevent.spawn(repeat, 0.0, self._keep_up)]
+        return [gevent.spawn(self._ctx.looks.run), gevent.spawn(repeat, 0.0, self._keep_up)]
 
     def _keep_up(self) -> None:
         """Check the chains and report, and wait for the next turn: at rest no run depends on it."""
         self.check_chains()
         self.send_due()
-        gevent.sleep(UPKEEP_S if self._board.table.runs or self._board.table.foreign else REPORT_S)
+        gevent.sleep(UPKEEP_S if self._ctx.table.runs or self._ctx.table.foreign else REPORT_S)
 
     def look(self) -> bool:
         """Look at the endpoint once, renewing its lease; false when it did not answer."""
-        return self._board.looks.look()
+        return self._ctx.looks.look()
 
     def _on_looked(self, finished: list[Finished], clean_changed: bool) -> None:
         """Act on a look: report ends, stop what stands still, offer the room that is free."""
-        self._board.end_all(finished)
+        self._ctx.end_all(finished)
         self._watch.watch_progress()
         self._stops.stop_due()
         if clean_changed:
             self._tell_state()
         if finished:
-            self._board.reports.offer_room()
+            self._ctx.reports.offer_room()
 
     def _on_silence(self, newly: bool) -> None:
         if newly:
-            self._board.reports.load_soon()
-        if self._board.table.runs and self._board.clock.now() > self._board.driver.lease_end():
-            self._board.end_all(self._board.table.lose_all())
+            self._ctx.reports.load_soon()
+        if self._ctx.table.runs and self._ctx.clock.now() > self._ctx.driver.lease_end():
+            self._ctx.end_all(self._ctx.table.lose_all())
 
     # Runs
 
@@ -224,11 +226,9 @@
 
     @on_message.register
     def _(self, msg: Assign, entry: str) -> None:
-        now = self._board.clock.now()
+        now = self._ctx.clock.now()
         self._chain.echoed(entry, msg.echo)
-        self._board.reports.applied[entry] = max(
-            msg.number, self._board.reports.applied.get(entry, 0)
-        )
+        self._ctx.reports.applied[entry] = max(msg.number, self._ctx.reports.applied.get(entry, 0))
         fresh = self._chain.holds(entry, now)
         refused = False
         payloads = [unpack(payload) for payload in msg.payloads]
@@ -237,37 +237,37 @@
             how = self._starts.begin(task, payload, entry) if fresh else How.NOT_STARTED
             if how is not None:
                 refused = True
-                self._board.metrics.count("runs_refused", label=how.name.lower())
+                self._ctx.metrics.count("runs_refused", label=how.name.lower())
                 logger.bind(
                     task=task.name,
                     run=task.run,
                     peer=entry,
                     how=how.name.lower(),
                     chain_holds=fresh,
-                    free_cpu=self._board.table.room.free.cpu,
-                    accepting=self._board.is_accepting,
+                    free_cpu=self._ctx.table.room.free.cpu,
+                    accepting=self._ctx.is_accepting,
                 ).info("run not begun")
-                self._board.reports.ended(entry, task.name, task.run, how, 0)
-        self._board.reports.flush_ended(entry)
-        self._board.reports.answered(entry, refused, msg.claims)
+                self._ctx.reports.ended(entry, task.name, task.run, how, 0)
+        self._ctx.reports.flush_ended(entry)
+        self._ctx.reports.answered(entry, refused, msg.claims)
 
     @on_message.register
     def _(self, msg: Withdraw, entry: str) -> None:
         for ref in msg.runs:
             key = (ref.task, ref.run)
-            run = self._board.table.runs.get(key)
+            run = self._ctx.table.runs.get(key)
             if run is not None and run.entry == entry:
                 self._stops.stop(key, How.STOPPED, "withdrawn")
             else:
                 self._starts.take_back(key, entry)
         self._stops.stop_due()
-        self._board.reports.flush_ended(entry)
+        self._ctx.reports.flush_ended(entry)
 
     @on_message.register
     def _(self, msg: LoadEcho, entry: str) -> None:
         self._chain.echoed(entry, msg.number)
-        self._board.reports.seen(entry, msg.seen)
-        self._board.reports.claimed(entry, msg.claims, msg.gives_back)
+        self._ctx.reports.seen(entry, msg.seen)
+        self._ctx.reports.claimed(entry, msg.claims, msg.gives_back)
         self._handing.heard_of(entry, msg.config_version)
 
     @on_message.register
@@ -276,7 +276,7 @@
 
     def _on_evacuations(self, _evacuations: Evacuations) -> None:
         self._tell_state()
-        self._board.reports.load_soon()
+        self._ctx.reports.load_soon()
 
     @on_message.register
     def _(self, msg: ConfigWanted, entry: str) -> None:
@@ -289,13 +289,13 @@
     def check_chains(self) -> None:
         """Stop the runs of entries that no longer echo, and open connections in place of silent
         ones."""
-        now = self._board.clock.now()
+        now = self._ctx.clock.now()
         self._stops.stop_unechoed()
-        for entry in self._board.links.processes():
-            if self._chain.is_quiet(entry, now, self._board.has_runs_of(entry)):
-                self._board.links.renew(entry)
-        self._board.reports.forget_silent(now)
-        self._board.links.close_silent()
+        for entry in self._ctx.links.processes():
+            if self._chain.is_quiet(entry, now, self._ctx.has_runs_of(entry)):
+                self._ctx.links.renew(entry)
+        self._ctx.reports.forget_silent(now)
+        self._ctx.links.close_silent()
 
     # Ends
 
@@ -305,23 +305,23 @@
         if hello.role != "entry":
             return
         entry = hello.process
-        held = [RunRef(*run.key) for run in self._board.table.of_entry(entry)]
+        held = [RunRef(*run.key) for run in self._ctx.table.of_entry(entry)]
         held += [RunRef(*key) for key in sorted(self._starts.replacing)]
         self._sharing.greet(entry)
-        self._board.links.send(entry, self._state())
-        self._board.links.send(entry, Holding(self._board.reports.applied.get(entry, 0), held))
-        self._board.reports.resend_ended(entry)
-        self._board.reports.load_soon()
+        self._ctx.links.send(entry, self._state())
+        self._ctx.links.send(entry, Holding(self._ctx.reports.applied.get(entry, 0), held))
+        self._ctx.reports.resend_ended(entry)
+        self._ctx.reports.load_soon()
 
     def _on_close(self, entry: str) -> None:
         """Keep what the entry runs until its lease is over: it may connect again."""
-        self._board.reports.grants.forget(entry)
+        self._ctx.reports.grants.forget(entry)
 
     def _state(self) -> EndpointState:
         report = self.report
         if report is None:
             return EndpointState(
-                "", self._board.cfg.service, self._board.cfg.failure_domain, 0, 0, 0, [], False
+                "", self._ctx.cfg.service, self._ctx.cfg.failure_domain, 0, 0, 0, [], False
             )
         return EndpointState(
             report.endpoint,
@@ -329,41 +329,41 @@
             report.failure_domain,
             *report.capacity,
             list(report.labels),
-            self._board.is_accepting,
+            self._ctx.is_accepting,
             report.born,
         )
 
     def _tell_state(self) -> None:
-        for entry in self._board.links.processes():
-            self._board.links.send(entry, self._state())
+        for entry in self._ctx.links.processes():
+            self._ctx.links.send(entry, self._state())
 
     def turn_away(self, entries: set[str]) -> set[str]:
         """Offer some entries no room any more; those of them that run nothing here."""
         idle = {
-            entry for entry in entries & self._board.reports.turned_away if not self._serves(entry)
+            entry for entry in entries & self._ctx.reports.turned_away if not self._serves(entry)
         }
-        self._board.reports.turned_away = entries - idle
+        self._ctx.reports.turned_away = entries - idle
         return idle
 
     def _serves(self, entry: str) -> bool:
-        return bool(self._board.table.of_entry(entry)) or self._board.reports.awaits(entry)
+        return bool(self._ctx.table.of_entry(entry)) or self._ctx.reports.awaits(entry)
 
     def _load(self) -> Load:
-        slowness_percent = int(self._board.health.slowness() * 100)
+        slowness_percent = int(self._ctx.health.slowness() * 100)
         return Load(
-            self._board.offered(),
+            self._ctx.offered(),
             slowness_percent,
-            self._board.feed.version,
-            self._board.longest_ms(),
+            self._ctx.feed.version,
+            self._ctx.longest_ms(),
         )
 
     def send_load(self) -> None:
         """Report the room on offer to every entry."""
-        self._board.reports.send_load()
+        self._ctx.reports.send_load()
 
     def send_due(self) -> None:
         """Report the room on offer to the entries whose turn it is."""
-        self._board.reports.send_due()
+        self._ctx.reports.send_due()
 
     # Leaving
 
@@ -373,18 +373,18 @@
         The endpoint is then used nearly up to the end, instead of idling beside its longest run:
         when four of eleven agents were stopped within 4 s, 150 of 200 cores were in use.
         """
-        self._board.leaving = True
-        self._board.leaves_at = until
+        self._ctx.leaving = True
+        self._ctx.leaves_at = until
         self.send_load()
 
     def has_left(self) -> bool:
         """Whether nothing runs any more; from the first such moment on, nothing begins."""
-        if self._board.table.runs or self._starts.replacing:
+        if self._ctx.table.runs or self._starts.replacing:
             return False
-        now = self._board.clock.now()
+        now = self._ctx.clock.now()
         if self._idle_since is None:
             self._idle_since = now
-            self._board.leaves_at = now
+            self._ctx.leaves_at = now
             self._tell_state()
             self.send_load()
         return now - self._idle_since > LAST_ORDERS_S
@@ -392,15 +392,15 @@
     def leave(self, until: float) -> None:
         """Let what runs end, and move the rest before ``until``."""
         self.begin_leaving(until)
-        while not self.has_left() and self._board.clock.now() < until:
+        while not self.has_left() and self._ctx.clock.now() < until:
             gevent.sleep(0.02)
-        self._board.leaves_at = self._board.clock.now()
+        self._ctx.leaves_at = self._ctx.clock.now()
         self._tell_state()
-        for key in list(self._board.table.runs):
+        for key in list(self._ctx.table.runs):
             self._stops.stop(key, How.STOPPED, "the agent ends")
         self._stops.stop_due()
-        last = self._board.clock.now() + 0.3
+        last = self._ctx.clock.now() + 0.3
         while (
-            self._board.table.runs or self._board.reports.has_unseen
-        ) and self._board.clock.now() < last:
+            self._ctx.table.runs or self._ctx.reports.has_unseen
+        ) and self._ctx.clock.now() < last:
             gevent.sleep(0.02)
--- a/src/gentianmux/leased/agent_board.py
+++ b/src/gentianmux/leased/agent_context.py
@@ -12,12 +12,12 @@
 from .leaving import NO_BOUND_MS, longest_ms
 from .links import Links
 from .model import EndpointDriver, EndpointReport, How
-from .room import NO_ROOM, Room
+from .resources import NO_ROOM, Resources
 from .run_table import Finished, RunTable
 from .settings import LeasedSettings, lease_s
 
 
-class AgentBoard:
+class AgentContext:
     """Read and written by all controllers of an agent.
 
     Parameters
@@ -97,7 +97,7 @@
             return NO_BOUND_MS
         return longest_ms(self.leaves_at - self.clock.now())
 
-    def offered(self) -> Room:
+    def offered(self) -> Resources:
         """Room in which new runs may begin now."""
         if not self.is_accepting:
             return NO_ROOM
--- a/src/gentianmux/leased/backlog.py
+++ b/src/gentianmux/leased/backlog.py
@@ -7,7 +7,7 @@
 
 from .admission import urgency
 from .job_state import JobState, Waiting
-from .room import NO_ROOM, Room
+from .resources import NO_ROOM, Resources
 
 Kind = tuple[bool, bool, int]
 """A kind of urgency: served late, not begun, priority."""
@@ -34,7 +34,7 @@
     ----------
     kind : tuple
         The kind of urgency.
-    total : Room
+    total : Resources
         What all of it takes.
     least_cpu : int
         Processors that its smallest task takes, in thousandths of a core.
@@ -43,7 +43,7 @@
     """
 
     kind: Kind
-    total: Room
+    total: Resources
     least_cpu: int
     begin_by: float
 
--- a/src/gentianmux/leased/candidates.py
+++ b/src/gentianmux/leased/candidates.py
@@ -4,7 +4,7 @@
 from heapq import heapify, heappop, heappush
 from typing import TYPE_CHECKING
 
-from .room import Room
+from .resources import Resources
 
 if TYPE_CHECKING:
     from .fleet_view import AgentView, FleetView, Wish
@@ -54,7 +54,7 @@
         """The most processors that any agent has free, in thousandths of a core."""
         return max((agent.free.cpu for agent in self._agents), default=0)
 
-    def has_room(self, need: Room) -> bool:
+    def has_room(self, need: Resources) -> bool:
         """Whether any agent has room for a task, whatever else it asks."""
         return any(agent.free.fits(need) for agent in self._agents)
 
--- a/src/gentianmux/leased/connecting.py
+++ b/src/gentianmux/leased/connecting.py
@@ -6,7 +6,7 @@
 from ..clock import Clock
 from .directory import Announcement, Directory
 from .links import Links
-from .model import node_of
+from .model import instance_of
 from .neighbours import ENTRIES_PER_AGENT, is_preferred, wanted
 
 if TYPE_CHECKING:
@@ -92,7 +92,7 @@
                 self._links.dial(address)
             else:
                 self._links.undial(address)
-        surplus = {p for p in self._links.processes() if node_of(p) not in names}
+        surplus = {p for p in self._links.processes() if instance_of(p) not in names}
         for process in self._agent.turn_away(surplus):
             self._links.drop(process, "other entries are preferred")
 
--- a/src/gentianmux/leased/directory.py
+++ b/src/gentianmux/leased/directory.py
@@ -15,7 +15,7 @@
 from ..typed_json import flag, number, read_object, table, text, texts, whole
 from .config_feed import AGAIN_S, WATCH_S
 from .model import EndpointReport
-from .room import Room
+from .resources import Resources
 
 TOPIC = "gentianmux-members"
 """Topic of the announcements, one key an instance."""
@@ -69,15 +69,15 @@
 
 def _decode_report(report: dict[str, Any]) -> EndpointReport:
     room = report.get("capacity")
-    if not isinstance(room, list) or len(room) != len(Room._fields):
+    if not isinstance(room, list) or len(room) != len(Resources._fields):
         raise ValueError("capacity is no list of amounts")
-    amounts = dict(zip(Room._fields, room, strict=True))
+    amounts = dict(zip(Resources._fields, room, strict=True))
     return EndpointReport(
         endpoint=text(report, "endpoint"),
         address=text(report, "address"),
         service=text(report, "service"),
         failure_domain=text(report, "failure_domain"),
-        capacity=Room(*(whole(amounts, name) for name in Room._fields)),
+        capacity=Resources(*(whole(amounts, name) for name in Resources._fields)),
         labels=texts(report, "labels"),
         draining=flag(report, "draining"),
         drain_remaining_s=number(report, "drain_remaining_s"),
--- a/src/gentianmux/leased/endpoint_tracker.py
+++ b/src/gentianmux/leased/endpoint_tracker.py
@@ -10,7 +10,7 @@
 from .config_feed import ConfigFeed
 from .endpoint_word import Word, judge
 from .model import EndpointDriver, EndpointReport
-from .room import NO_ROOM
+from .resources import NO_ROOM
 from .run_table import Finished, RunTable
 from .settings import LeasedSettings
 
--- a/src/gentianmux/leased/endpoint_word.py
+++ b/src/gentianmux/leased/endpoint_word.py
@@ -24,8 +24,8 @@
 
     Examples
     --------
-    >>> from gentianmux.leased.room import Room
-    >>> first = EndpointReport("i-1", "", "s", "fd", Room(1, 1), (), False, 0.0, 9, born=100)
+    >>> from gentianmux.leased.resources import Resources
+    >>> first = EndpointReport("i-1", "", "s", "fd", Resources(1, 1), (), False, 0.0, 9, born=100)
     >>> judge(first._replace(sequence=8), first).value
     'overtaken'
     >>> judge(first._replace(sequence=1, born=200), first).value
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -31,7 +31,7 @@
 from .links import Links
 from .model import How, JobSpec, QueueRules
 from .placing import Placing
-from .room import NO_ROOM
+from .resources import NO_ROOM
 from .run_ends import RunEnds
 from .ticket import Ticket, Verdict
 
@@ -82,12 +82,12 @@
         clock: Clock,
         link_bytes_s: float = 0.0,
     ) -> None:
-        self._board = EntryBoard(view, links, feed, metrics, clock, link_bytes_s)
+        self._ctx = EntryBoard(view, links, feed, metrics, clock, link_bytes_s)
         self._handing = ConfigHanding(feed, links, clock)
         self._sharing = EvacuationSharing(feed.evacuations, links, self._on_evacuations)
-        self._ends = RunEnds(self._board)
-        self._admitting = Admitting(self._board)
-        self._placing = Placing(self._board, self._ends, self._admitting.admissions)
+        self._ends = RunEnds(self._ctx)
+        self._admitting = Admitting(self._ctx)
+        self._placing = Placing(self._ctx, self._ends, self._admitting.admissions)
         self.leaving = False
         self._leaves_at = float("inf")
         self._idle_since: float | None = None
@@ -98,51 +98,51 @@
     @property
     def jobs(self) -> dict[str, Ticket]:
         """Jobs at work here, by their ids."""
-        return self._board.jobs
+        return self._ctx.jobs
 
     @property
     def is_ready(self) -> bool:
         """Whether callers should be sent here."""
-        reachable = self._board.view.is_reachable(self._board.clock.now())
-        return not self.leaving and self._board.feed.current is not None and reachable
+        reachable = self._ctx.view.is_reachable(self._ctx.clock.now())
+        return not self.leaving and self._ctx.feed.current is not None and reachable
 
     # Jobs
 
     def submit(self, spec: JobSpec, queue: QueueRules, time_limit_s: float) -> Ticket:
         """Admit a job, or join the one of the same id that is at work here."""
-        running = self._board.jobs.get(spec.job_id)
+        running = self._ctx.jobs.get(spec.job_id)
         if running is not None:
-            self._board.metrics.count("jobs_joined")
+            self._ctx.metrics.count("jobs_joined")
             return running
-        now = self._board.clock.now()
+        now = self._ctx.clock.now()
         job = JobState(spec, queue, now, now + time_limit_s)
         ticket = Ticket(job)
-        self._board.jobs[spec.job_id] = ticket
-        self._board.backlog.put(job)
-        self._board.metrics.count("jobs_admitted")
+        self._ctx.jobs[spec.job_id] = ticket
+        self._ctx.backlog.put(job)
+        self._ctx.metrics.count("jobs_admitted")
         self._admitting.admissions[queue.service].arrived(job, now)
         self._placing.place()
         return ticket
 
     def now(self) -> float:
         """Monotonic time in seconds, as deadlines of jobs are counted."""
-        return self._board.clock.now()
+        return self._ctx.clock.now()
 
     def pending(self, queue: str) -> int:
         """Jobs of a queue of which nothing has begun."""
-        waiting = (job for job in self._board.backlog if not job.began)
+        waiting = (job for job in self._ctx.backlog if not job.began)
         return sum(1 for job in waiting if job.queue.name == queue)
 
     def cancel(self, job_id: str) -> bool:
         """Cancel a job; false when none of this id is at work here."""
-        ticket = self._board.jobs.get(job_id)
+        ticket = self._ctx.jobs.get(job_id)
         if ticket is not None:
-            self._board.finish(ticket.job, Verdict(Outcome.CANCELLED, "cancelled by its caller"))
+            self._ctx.finish(ticket.job, Verdict(Outcome.CANCELLED, "cancelled by its caller"))
         return ticket is not None
 
     def abandon(self, ticket: Ticket, reason: str) -> None:
         """Stop a job that nobody waits for any more."""
-        self._board.finish(ticket.job, Verdict(Outcome.UNKNOWN, reason))
+        self._ctx.finish(ticket.job, Verdict(Outcome.UNKNOWN, reason))
 
     # Messages of agents
 
@@ -153,24 +153,24 @@
 
     @on_message.register
     def _(self, msg: AgentLoad, agent: str) -> None:
-        view = self._board.view.of(agent)
-        now = self._board.clock.now()
+        view = self._ctx.view.of(agent)
+        now = self._ctx.clock.now()
         view.take_load(msg, now)
-        self._board.window.told(agent, msg.applied, now)
+        self._ctx.window.told(agent, msg.applied, now)
         self._handing.heard_of(agent, msg.config_version)
         if view.free.cpu > 0:
             self._placing.soon()
         # Room that is granted to what no longer waits is for another entry.
-        gives_back = not self._board.backlog and bool(view.told)
-        if gives_back or self._board.clock.now() - view.echoed_at >= ECHO_GAP_S:
-            self._board.echo(view)
+        gives_back = not self._ctx.backlog and bool(view.told)
+        if gives_back or self._ctx.clock.now() - view.echoed_at >= ECHO_GAP_S:
+            self._ctx.echo(view)
 
     @on_message.register
     def _(self, msg: EndpointState, agent: str) -> None:
-        view = self._board.view.of(agent)
+        view = self._ctx.view.of(agent)
         before = view.state
         view.state = msg
-        view.heard_at = self._board.clock.now()
+        view.heard_at = self._ctx.clock.now()
         if before != msg:
             logger.bind(
                 peer=agent, endpoint=msg.life, accepting=msg.accepting, service=msg.service
@@ -183,12 +183,12 @@
     def _(self, msg: EndedRuns, agent: str) -> None:
         for row in msg.runs:
             self._ends.take(agent, row.task, row.run, How(row.how))
-        view = self._board.view.of(agent)
+        view = self._ctx.view.of(agent)
         if msg.runs:
             view.seen = max(view.seen, msg.runs[-1].number)
         if view.is_leaving:
             # It ends once its last runs are acknowledged.
-            self._board.echo(view)
+            self._ctx.echo(view)
         self._placing.soon()
 
     @on_message.register
@@ -208,7 +208,7 @@
         self._sharing.take(msg, agent)
 
     def _on_evacuations(self, evacuations: Evacuations) -> None:
-        self._board.view.evacuated = evacuations.failure_domains
+        self._ctx.view.evacuated = evacuations.failure_domains
         self._placing.soon()
 
     # Losses
@@ -216,17 +216,17 @@
     def _on_open(self, hello: Hello) -> None:
         # Before anything is assigned there: the agent may have just started.
         self._sharing.greet(hello.process)
-        self._ends.opened_at[hello.process] = self._board.clock.now()
-        self._board.window.forget(hello.process)
+        self._ends.opened_at[hello.process] = self._ctx.clock.now()
+        self._ctx.window.forget(hello.process)
         # The connection may have taken the place of a silent one, and the chain be nearly over.
-        self._board.view.of(hello.process).echoed_at = 0.0
+        self._ctx.view.of(hello.process).echoed_at = 0.0
 
     def _on_close(self, agent: str) -> None:
         """Keep what the agent holds until it is surely over: it may connect again."""
-        view = self._board.view.agents.get(agent)
+        view = self._ctx.view.agents.get(agent)
         if view is not None:
             view.offer(NO_ROOM)
-        self._board.window.forget(agent)
+        self._ctx.window.forget(agent)
 
     # Upkeep
 
@@ -239,40 +239,40 @@
 
     def _step_and_rest(self) -> None:
         self.step()
-        gevent.sleep(STEP_S if self._board.backlog else IDLE_STEP_S)
+        gevent.sleep(STEP_S if self._ctx.backlog else IDLE_STEP_S)
 
     def check_losses(self) -> None:
         """End what lost agents had, and close connections that have been silent for long."""
-        now = self._board.clock.now()
-        for process in list(self._board.view.agents):
-            if self._board.view.is_over(process, now):
+        now = self._ctx.clock.now()
+        for process in list(self._ctx.view.agents):
+            if self._ctx.view.is_over(process, now):
                 self._ends.lose(process, "silent for longer than every lease")
-        self._board.links.close_silent()
+        self._ctx.links.close_silent()
 
     def step(self) -> None:
         """One round: passed deadlines, jobs that cannot be in time, placing."""
-        now = self._board.clock.now()
-        for ticket in list(self._board.jobs.values()):
+        now = self._ctx.clock.now()
+        for ticket in list(self._ctx.jobs.values()):
             if now >= ticket.job.deadline:
-                self._board.give_up(ticket.job, "deadline passed")
+                self._ctx.give_up(ticket.job, "deadline passed")
         self._correct_window(now)
-        if self._board.backlog:
+        if self._ctx.backlog:
             self._admitting.decide(now)
             self._placing.place()
 
     def _correct_window(self, now: float) -> None:
-        window = self._board.window
+        window = self._ctx.window
         before = window.limit
         window.correct(now)
         if window.limit < before:
             logger.bind(limit_bytes=window.limit, before=before, on_way_bytes=window.on_way).info(
                 "link is full"
             )
-        self._board.metrics.gauge("link_window_bytes", window.limit)
+        self._ctx.metrics.gauge("link_window_bytes", window.limit)
 
     def takes(self, spec: JobSpec) -> bool:
         """Whether a job can be expected to end before this process does."""
-        return ends_in_time(longest_chain_s(spec), self._leaves_at - self._board.clock.now())
+        return ends_in_time(longest_chain_s(spec), self._leaves_at - self._ctx.clock.now())
 
     def leave(self, linger_s: float, until: float) -> None:
         """Take what can still end before ``until``, for ``linger_s`` at least, and answer all.
@@ -281,11 +281,11 @@
         """
         self.begin_leaving(until)
         gevent.sleep(linger_s)
-        while not self.has_left() and self._board.clock.now() < until:
+        while not self.has_left() and self._ctx.clock.now() < until:
             gevent.sleep(LEAVE_CHECK_S)
-        self._leaves_at = self._board.clock.now()
-        for ticket in list(self._board.jobs.values()):
-            self._board.give_up(ticket.job, "the entry ends")
+        self._leaves_at = self._ctx.clock.now()
+        for ticket in list(self._ctx.jobs.values()):
+            self._ctx.give_up(ticket.job, "the entry ends")
 
     def begin_leaving(self, until: float) -> None:
         """Take only what can be expected to end before ``until``."""
@@ -297,8 +297,8 @@
 
         A job taken between the last answer and the end of the process would be cut off.
         """
-        now = self._board.clock.now()
-        if self._board.jobs:
+        now = self._ctx.clock.now()
+        if self._ctx.jobs:
             self._idle_since = None
             return False
         if self._idle_since is None:
--- a/src/gentianmux/leased/entry_reports.py
+++ b/src/gentianmux/leased/entry_reports.py
@@ -9,7 +9,7 @@
 from .grants import GRANT_S, Grants
 from .links import Links
 from .model import How
-from .room import NO_ROOM, Room
+from .resources import NO_ROOM, Resources
 
 GATHER_S = 0.002
 """Seconds for which changes are gathered into one report to all: about one network round trip."""
@@ -24,7 +24,7 @@
 class Load(NamedTuple):
     """What a load report says of the agent."""
 
-    offered: Room
+    offered: Resources
     slowness_percent: int
     config_version: int
     longest_ms: int
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -9,8 +9,8 @@
 from .chain import CHAIN_S, surely_over
 from .claiming import Signature
 from .leaving import NO_BOUND_MS
-from .model import node_of
-from .room import NO_ROOM, Room
+from .model import instance_of
+from .resources import NO_ROOM, Resources
 
 SILENT_S = CHAIN_S - 0.05
 """Seconds without a load report after which an agent gets nothing new: what is assigned later comes
@@ -37,7 +37,7 @@
 
     Attributes
     ----------
-    free : Room
+    free : Resources
         Room offered, less what was assigned since the report that offered it.
     echoed_at : float
         When the newest report that was echoed was heard.
@@ -49,11 +49,11 @@
     state: EndpointState | None = None
     heard_at: float = 0.0
     newest_load: int = 0
-    free: Room = NO_ROOM
+    free: Resources = NO_ROOM
     slowness: float = 1.0
     assigned: int = 0
-    _offered: Room = NO_ROOM
-    _pending: dict[int, Room] = field(default_factory=dict)
+    _offered: Resources = NO_ROOM
+    _pending: dict[int, Resources] = field(default_factory=dict)
     failed_until: float = 0.0
     told: Signature = ()
     entries: int = 1
@@ -61,14 +61,14 @@
     echoed_at: float = 0.0
     seen: int = 0
 
-    def offer(self, room: Room) -> None:
+    def offer(self, room: Resources) -> None:
         """Take note of the room that the agent offers now."""
         self._offered = room
         for taken in self._pending.values():
             room = room.minus(taken)
         self.free = room
 
-    def reserve(self, number: int, need: Room) -> None:
+    def reserve(self, number: int, need: Resources) -> None:
         """Take a task's room for an assignment that the agent has not reported on yet."""
         self._pending[number] = self._pending.get(number, NO_ROOM).plus(need)
         self.free = self.free.minus(need)
@@ -84,7 +84,7 @@
         self.longest_ms = load.longest_ms
         for number in [number for number in self._pending if number <= load.applied]:
             del self._pending[number]
-        self.offer(Room(load.cpu, load.mem_mb, load.gpu))
+        self.offer(Resources(load.cpu, load.mem_mb, load.gpu))
 
     def echoed(self) -> None:
         """Note that the newest report is echoed, be it with an assignment or with claims.
@@ -121,7 +121,7 @@
     """
 
     service: str
-    need: Room
+    need: Resources
     requires: str = ""
     prefers: str = ""
     avoid: frozenset[str] = frozenset()
@@ -235,7 +235,7 @@
         """Cores of announced agents that are about to be heard of."""
         if not self._expected:
             return 0.0
-        heard = {node_of(agent.process) for agent in self._order if agent.state is not None}
+        heard = {instance_of(agent.process) for agent in self._order if agent.state is not None}
         self._expected = {
             node: each
             for node, each in self._expected.items()
@@ -285,6 +285,6 @@
         return slowness, busy, self._rng.random()
 
 
-def _capacity_of(agent: AgentView) -> Room:
+def _capacity_of(agent: AgentView) -> Resources:
     state = agent.state
-    return NO_ROOM if state is None else Room(state.cpu, state.mem_mb, state.gpu)
+    return NO_ROOM if state is None else Resources(state.cpu, state.mem_mb, state.gpu)
--- a/src/gentianmux/leased/grants.py
+++ b/src/gentianmux/leased/grants.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from ..messages import Claim
-from .room import NO_ROOM, Room
+from .resources import NO_ROOM, Resources
 
 GRANT_S = 0.04
 """Seconds for which granted room is kept for its entry: some ten round trips between failure
@@ -28,7 +28,7 @@
     """A claim as an agent keeps it; ``begin_by`` is on the agent's monotonic clock, in seconds."""
 
     entry: str
-    need: Room
+    need: Resources
     least_cpu: int
     late: bool
     begun: bool
@@ -38,7 +38,7 @@
 
 @dataclass
 class _Grant:
-    room: Room
+    room: Resources
     until: float
 
 
@@ -58,7 +58,7 @@
 
     Attributes
     ----------
-    late_reserve : Room
+    late_reserve : Resources
         What late work leaves free for work that can be in time.
     task_cpu : int
         What a task has taken here lately, in thousandths of a core: room is shared by whole tasks.
@@ -67,9 +67,9 @@
     --------
     >>> grants = Grants()
     >>> grants.claim("e1", [Claim(5000, 128, 0, 2500, False, False, 0, 100)], now=0.0)
-    >>> grants.deal(Room(4000, 1000), now=0.0)
+    >>> grants.deal(Resources(4000, 1000), now=0.0)
     {'e1'}
-    >>> offers = grants.offers(["e1", "e2"], Room(4000, 1000), now=0.0)
+    >>> offers = grants.offers(["e1", "e2"], Resources(4000, 1000), now=0.0)
     >>> offers["e1"].cpu, offers["e2"].cpu
     (4000, 0)
     """
@@ -86,7 +86,7 @@
         found = [
             Waiting(
                 entry,
-                Room(c.cpu, c.mem_mb, c.gpu),
+                Resources(c.cpu, c.mem_mb, c.gpu),
                 c.least_cpu,
                 c.late,
                 c.begun,
@@ -114,7 +114,7 @@
         """Whether anybody waits for room."""
         return bool(self._claims)
 
-    def deal(self, free: Room, now: float) -> set[str]:
+    def deal(self, free: Resources, now: float) -> set[str]:
         """Grant free room to claims, the most urgent first; the entries whose offer has changed."""
         self._drop_lapsed(now)
         left = self._left(free)
@@ -130,7 +130,7 @@
             changed.add(waiting.entry)
         return changed
 
-    def _open_to(self, late: bool, room: Room) -> Room:
+    def _open_to(self, late: bool, room: Resources) -> Resources:
         """What of some room work may use: late work leaves a part for what can be in time."""
         return _at_least_none(room.minus(self.late_reserve)) if late else room
 
@@ -147,12 +147,12 @@
                 del self._granted[entry]
                 self._passed_over[entry] = now + PASS_OVER_S
 
-    def _left(self, free: Room) -> Room:
+    def _left(self, free: Resources) -> Resources:
         for grant in self._granted.values():
             free = free.minus(grant.room)
         return _at_least_none(free)
 
-    def offers(self, entries: Sequence[str], free: Room, now: float) -> dict[str, Room]:
+    def offers(self, entries: Sequence[str], free: Resources, now: float) -> dict[str, Resources]:
         """What each entry may use now: its grant, and its share of what nobody claims.
 
         Parameters
@@ -160,7 +160,7 @@
         entries : sequence of str
             All that the endpoint is shared with, in the order in which they get what cannot be
             split evenly.
-        free : Room
+        free : Resources
             Free room of the endpoint.
         now : float
             Monotonic time in seconds.
@@ -171,7 +171,7 @@
             for entry, share in zip(entries, shares, strict=True)
         }
 
-    def _granted_room(self, entry: str, now: float) -> Room:
+    def _granted_room(self, entry: str, now: float) -> Resources:
         grant = self._granted.get(entry)
         return grant.room if grant is not None and grant.until > now else NO_ROOM
 
@@ -180,7 +180,7 @@
         claims = self._claims.get(entry, [])
         return bool(claims) and all(waiting.late for waiting in claims)
 
-    def _unclaimed(self, free: Room, now: float) -> Room:
+    def _unclaimed(self, free: Resources, now: float) -> Resources:
         """Room that is left when every claim that can be granted has been."""
         left = self._left(free)
         if any(_part(w, self._open_to(w.late, left)) for w in self._open_claims(now)):
@@ -188,29 +188,29 @@
         return left
 
 
-def _at_least_none(room: Room) -> Room:
-    return Room(*(max(0, amount) for amount in room))
+def _at_least_none(room: Resources) -> Resources:
+    return Resources(*(max(0, amount) for amount in room))
 
 
-def _part(waiting: Waiting, left: Room) -> Room | None:
+def _part(waiting: Waiting, left: Resources) -> Resources | None:
     """How much of what is left a claim can use; None when not even its smallest task fits."""
     need = waiting.need
     lacking = any(wanted > 0 and has <= 0 for has, wanted in zip(left, need, strict=True))
     if lacking or left.cpu < waiting.least_cpu:
         return None
-    return Room(*(min(has, wanted) for has, wanted in zip(left, need, strict=True)))
+    return Resources(*(min(has, wanted) for has, wanted in zip(left, need, strict=True)))
 
 
-def split(room: Room, parts: int, task_cpu: int) -> list[Room]:
+def split(room: Resources, parts: int, task_cpu: int) -> list[Resources]:
     """Split room into parts of whole tasks; the first ones get what cannot be split evenly; pure.
 
     Offered whole to each entry, the last room of an endpoint was a race as well.
 
     Examples
     --------
-    >>> [part.cpu for part in split(Room(8000), 3, 2500)]
+    >>> [part.cpu for part in split(Resources(8000), 3, 2500)]
     [3000, 2500, 2500]
-    >>> [part.cpu for part in split(Room(4000), 3, 2500)]
+    >>> [part.cpu for part in split(Resources(4000), 3, 2500)]
     [4000, 0, 0]
     """
     if parts <= 1 or task_cpu <= 0 or room.cpu <= 0:
@@ -222,5 +222,5 @@
     return [_portion(room, cpu) for cpu in cpus]
 
 
-def _portion(room: Room, cpu: int) -> Room:
-    return Room(cpu, room.mem_mb * cpu // room.cpu, -(-room.gpu * cpu // room.cpu))
+def _portion(room: Resources, cpu: int) -> Resources:
+    return Resources(cpu, room.mem_mb * cpu // room.cpu, -(-room.gpu * cpu // room.cpu))
--- a/src/gentianmux/leased/health.py
+++ b/src/gentianmux/leased/health.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from .room import Room
+from .resources import Resources
 
 FAILED_IN_A_ROW = 4
 """Runs of different jobs; one task in 500 fails by its own fault, so four in a row are the
@@ -79,10 +79,10 @@
         """Whether the endpoint gets nothing at present."""
         return now < self._until
 
-    def offered(self, free: Room, running: int, now: float) -> Room:
+    def offered(self, free: Resources, running: int, now: float) -> Resources:
         """How much of the free room may be used."""
         if self.is_ejected(now) or (self.on_trial and running >= TRICKLE):
-            return Room()
+            return Resources()
         return free
 
     def slowness(self) -> float:
--- a/src/gentianmux/leased/job_state.py
+++ b/src/gentianmux/leased/job_state.py
@@ -7,7 +7,7 @@
 
 from .model import How, JobSpec, QueueRules, StepSpec
 from .payloads import pack
-from .room import NO_ROOM, Room
+from .resources import NO_ROOM, Resources
 
 FIRST_RUN = 1
 """Runs of a task are numbered from here."""
@@ -71,8 +71,8 @@
 class Waiting(NamedTuple):
     """What the tasks of a job that can begin take: together, and the smallest of them."""
 
-    total: Room
-    least: Room
+    total: Resources
+    least: Resources
 
 
 class JobState:
@@ -163,7 +163,7 @@
         """What the tasks that can begin take; nothing when none can."""
         if self._waiting is None:
             needs = [self.step_of(task).need for task in self.ready()]
-            total = Room(*map(sum, zip(*needs, strict=True))) if needs else NO_ROOM
+            total = Resources(*map(sum, zip(*needs, strict=True))) if needs else NO_ROOM
             self._waiting = Waiting(total, min(needs, default=NO_ROOM))
         return self._waiting
 
--- a/src/gentianmux/leased/links.py
+++ b/src/gentianmux/leased/links.py
@@ -17,7 +17,7 @@
 from ..listeners import Listeners
 from ..messages import PROTOCOL_VERSION, Hello, Message
 from ..metrics import Metrics
-from .model import node_of
+from .model import instance_of
 from .settings import LeasedSettings
 
 CONNECT_S = 0.5
@@ -123,7 +123,7 @@
 
     def peers(self) -> dict[str, str]:
         """Address of each instance with an open connection."""
-        return {node_of(process): conn.address for process, conn in self._open.items()}
+        return {instance_of(process): conn.address for process, conn in self._open.items()}
 
     def drop(self, process: str, reason: str) -> None:
         """Close a connection that is no longer needed."""
@@ -199,7 +199,7 @@
 
     def _register(self, hello: Hello, conn: Conn) -> None:
         for process, old in list(self._open.items()):
-            same_node = node_of(process) == node_of(hello.process)
+            same_node = instance_of(process) == instance_of(hello.process)
             if same_node or old.address == hello.address:
                 # The newer connection, or the newer life, replaces the older one.
                 del self._open[process]
--- a/src/gentianmux/leased/model.py
+++ b/src/gentianmux/leased/model.py
@@ -3,10 +3,10 @@
 from enum import Enum, IntEnum
 from typing import NamedTuple, Protocol
 
-from .room import Room
+from .resources import Resources
 
 
-def node_of(process: str) -> str:
+def instance_of(process: str) -> str:
     """Name of the instance whose process this is."""
     return process.rpartition(".")[0]
 
@@ -18,7 +18,7 @@
     ----------
     tasks : int
         Tasks of the step.
-    need : Room
+    need : Resources
         What each of them takes.
     estimate_ms : int
         The caller's rough estimate of one task's run time.
@@ -33,7 +33,7 @@
     """
 
     tasks: int
-    need: Room
+    need: Resources
     estimate_ms: int
     after: tuple[int, ...] = ()
     requires: str = ""
@@ -119,7 +119,7 @@
     address: str
     service: str
     failure_domain: str
-    capacity: Room
+    capacity: Resources
     labels: tuple[str, ...]
     draining: bool
     drain_remaining_s: float
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -12,7 +12,7 @@
 from .fleet_view import AgentView, Wish
 from .job_state import TASK_BYTES, JobState, TaskState
 from .model import How
-from .room import NO_ROOM, Room
+from .resources import NO_ROOM, Resources
 from .run_ends import RunEnds
 
 CLAIM_AGAIN_S = 0.02
@@ -32,7 +32,7 @@
 
     Parameters
     ----------
-    board : EntryBoard
+    ctx : EntryBoard
         The jobs and the agents.
     ends : RunEnds
         Takes back what could not be sent.
@@ -45,9 +45,9 @@
     """
 
     def __init__(
-        self, board: EntryBoard, ends: RunEnds, admissions: defaultdict[str, Admission]
+        self, ctx: EntryBoard, ends: RunEnds, admissions: defaultdict[str, Admission]
     ) -> None:
-        self._board = board
+        self._ctx = ctx
         self._ends = ends
         self._admissions = admissions
         self._planned = False
@@ -55,9 +55,9 @@
 
     def soon(self) -> None:
         """Place after what is being handled now."""
-        if self._board.backlog and not self._planned:
+        if self._ctx.backlog and not self._planned:
             self._planned = True
-            self._board.clock.soon(self._place_planned)
+            self._ctx.clock.soon(self._place_planned)
 
     def _place_planned(self) -> None:
         self._planned = False
@@ -70,9 +70,9 @@
         empty until a larger one came free, some 2.1 of 16 to 24 cores (median) stood unused where a
         task needs 2.5.
         """
-        now = self._board.clock.now()
+        now = self._ctx.clock.now()
         shares: dict[str, list[LeasedTask]] = defaultdict(list)
-        for service in self._board.backlog.services():
+        for service in self._ctx.backlog.services():
             self._place_service(service, shares, now)
         for process, tasks in shares.items():
             self._assign(process, tasks)
@@ -80,13 +80,13 @@
         self._tell_claims(now)
 
     def _place_service(self, service: str, shares: dict[str, list[LeasedTask]], now: float) -> None:
-        view = self._board.view
+        view = self._ctx.view
         candidates = Candidates(view, view.willing(service, now))
-        too_large: Room | None = None
+        too_large: Resources | None = None
         planned = 0
-        for job in self._board.backlog.of(service) if len(candidates) else ():
-            if planned >= self._board.window.left():
-                self._board.window.hold_back(now)
+        for job in self._ctx.backlog.of(service) if len(candidates) else ():
+            if planned >= self._ctx.window.left():
+                self._ctx.window.hold_back(now)
                 break
             need = job.waiting.least
             if now >= job.deadline or not job.ready():
@@ -98,7 +98,7 @@
             planned += (before - len(job.ready())) * job.bytes_a_task
             if not placed and not candidates.has_room(need):
                 too_large = need
-                if candidates.most_cpu < self._board.backlog.least_cpu(service):
+                if candidates.most_cpu < self._ctx.backlog.least_cpu(service):
                     break
 
     def _place_job(
@@ -115,20 +115,20 @@
         if chosen and not began:
             self._admissions[job.queue.service].begins(job, now)
         if chosen:
-            oldest = min(self._board.view.of(process).heard_at for process in chosen)
+            oldest = min(self._ctx.view.of(process).heard_at for process in chosen)
             logger.bind(
                 job=job.spec.job_id,
                 agents=dict(chosen),
                 with_room=len(candidates),
                 load_age_ms=round((now - oldest) * 1000, 1),
                 waited_ms=round((now - job.arrived) * 1000, 1),
-                config_version=self._board.feed.version,
+                config_version=self._ctx.feed.version,
             ).info("runs placed")
         if placed:
-            self._board.backlog.drop(job)
+            self._ctx.backlog.drop(job)
         elif chosen:
             # What has begun goes before what has not.
-            self._board.backlog.put(job)
+            self._ctx.backlog.put(job)
         return placed
 
     def _place_tasks(
@@ -151,7 +151,7 @@
             step = job.step_of(task)
             number = agent.assigned + 1
             agent.reserve(number, step.need)
-            self._board.out[agent.process][(task.name, run)] = job
+            self._ctx.out[agent.process][(task.name, run)] = job
             shares[agent.process].append(
                 LeasedTask(task.name, run, 0, *step.need, step.estimate_ms)
             )
@@ -172,23 +172,23 @@
 
     def _avoided(self, job: JobState, task: TaskState, now: float) -> frozenset[str]:
         """Lives on which a task ended badly, unless no others serve its service."""
-        willing = self._board.view.willing(job.queue.service, now)
+        willing = self._ctx.view.willing(job.queue.service, now)
         others = any(a.state is not None and a.state.life not in task.avoid for a in willing)
         return frozenset(task.avoid) if others else frozenset()
 
     def _assign(self, process: str, tasks: list[LeasedTask]) -> None:
-        agent = self._board.view.of(process)
+        agent = self._ctx.view.of(process)
         agent.assigned += 1
-        self._board.metrics.count("runs_assigned", len(tasks))
-        claims = [] if agent.state is None else self._board.claims(agent.state.service)
+        self._ctx.metrics.count("runs_assigned", len(tasks))
+        claims = [] if agent.state is None else self._ctx.claims(agent.state.service)
         agent.told = signature(claims)
         agent.echoed()
         tasks, payloads = self._with_payloads(process, tasks)
         msg = Assign(agent.newest_load, agent.assigned, tasks, claims, payloads)
-        sent = self._board.links.send(process, msg)
+        sent = self._ctx.links.send(process, msg)
         if sent:
             size = sum(map(len, payloads)) + len(tasks) * TASK_BYTES
-            self._board.window.sent(process, msg.number, size, self._board.clock.now())
+            self._ctx.window.sent(process, msg.number, size, self._ctx.clock.now())
         else:
             for task in tasks:
                 self._ends.take(process, task.name, task.run, How.NOT_STARTED)
@@ -197,7 +197,7 @@
         self, process: str, tasks: list[LeasedTask]
     ) -> tuple[list[LeasedTask], list[bytes]]:
         """The tasks with the numbers of their payloads, and each job's payload once."""
-        out = self._board.out[process]
+        out = self._ctx.out[process]
         numbers: dict[str, int] = {}
         numbered = []
         payloads: list[bytes] = []
@@ -212,14 +212,14 @@
 
     def _tell_claims(self, now: float) -> None:
         """Claim room of all agents when runs of another urgency begin to wait."""
-        if not self._board.backlog or now - self._claims_told_at < CLAIM_AGAIN_S:
+        if not self._ctx.backlog or now - self._claims_told_at < CLAIM_AGAIN_S:
             return
         self._claims_told_at = now
-        for service in self._board.backlog.services():
-            wanted = signature(self._board.claims(service))
-            for agent in self._board.view.serving(service, now):
+        for service in self._ctx.backlog.services():
+            wanted = signature(self._ctx.claims(service))
+            for agent in self._ctx.view.serving(service, now):
                 if agent.told != wanted:
-                    self._board.echo(agent)
+                    self._ctx.echo(agent)
 
     def _give_back(self) -> None:
         """Give back room that was granted to what waited, and is of no use to what still waits.
@@ -227,11 +227,11 @@
         Kept until the grants lapsed, it stood empty for 40 ms each time, 357 times in 2,762 starts
         at 1.9 times the usual load (``bench.leased_load``, seed 0).
         """
-        for agent in self._board.view.agents.values():
+        for agent in self._ctx.view.agents.values():
             if agent.told and agent.free.cpu > 0 and not self._is_of_use(agent):
                 agent.offer(NO_ROOM)
-                self._board.echo(agent, gives_back=True)
+                self._ctx.echo(agent, gives_back=True)
 
     def _is_of_use(self, agent: AgentView) -> bool:
-        claims = [] if agent.state is None else self._board.claims(agent.state.service)
+        claims = [] if agent.state is None else self._ctx.claims(agent.state.service)
         return any(claim.least_cpu <= agent.free.cpu for claim in claims)
--- a/src/gentianmux/leased/room.py
+++ b/src/gentianmux/leased/resources.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 
-class Room(NamedTuple):
+class Resources(NamedTuple):
     """An amount of resources.
 
     Attributes
@@ -17,7 +17,7 @@
 
     Examples
     --------
-    >>> Room(16000, 1024).minus(Room(1600, 64))
+    >>> Resources(16000, 1024).minus(Resources(1600, 64))
     Room(cpu=14400, mem_mb=960, gpu=0)
     """
 
@@ -27,11 +27,11 @@
 
     def plus(self, other: "Room") -> "Room":
         """The sum of both."""
-        return Room(self.cpu + other.cpu, self.mem_mb + other.mem_mb, self.gpu + other.gpu)
+        return Resources(self.cpu + other.cpu, self.mem_mb + other.mem_mb, self.gpu + other.gpu)
 
     def minus(self, other: "Room") -> "Room":
         """What is left without the other; a part may be negative."""
-        return Room(self.cpu - other.cpu, self.mem_mb - other.mem_mb, self.gpu - other.gpu)
+        return Resources(self.cpu - other.cpu, self.mem_mb - other.mem_mb, self.gpu - other.gpu)
 
     def fits(self, need: "Room") -> bool:
         """Whether a need fits into this."""
@@ -43,7 +43,7 @@
         return max(parts, default=0.0)
 
 
-NO_ROOM = Room()
+NO_ROOM = Resources()
 
 
 class RoomAccount:
@@ -51,24 +51,24 @@
 
     Examples
     --------
-    >>> account = RoomAccount(Room(2000, 100))
-    >>> account.take(("a", 1), Room(1600, 64))
+    >>> account = RoomAccount(Resources(2000, 100))
+    >>> account.take(("a", 1), Resources(1600, 64))
     True
-    >>> account.take(("b", 1), Room(1600, 64))
+    >>> account.take(("b", 1), Resources(1600, 64))
     False
     """
 
-    def __init__(self, capacity: Room = NO_ROOM) -> None:
+    def __init__(self, capacity: Resources = NO_ROOM) -> None:
         self.capacity = capacity
-        self._taken: dict[tuple[str, int], Room] = {}
+        self._taken: dict[tuple[str, int], Resources] = {}
         self.used = NO_ROOM
 
     @property
-    def free(self) -> Room:
+    def free(self) -> Resources:
         """What nothing has taken."""
         return self.capacity.minus(self.used)
 
-    def take(self, run: tuple[str, int], need: Room) -> bool:
+    def take(self, run: tuple[str, int], need: Resources) -> bool:
         """Take room for a run; false, and nothing is taken, when it does not fit."""
         if run in self._taken or not self.free.fits(need):
             return False
--- a/src/gentianmux/leased/run_ends.py
+++ b/src/gentianmux/leased/run_ends.py
@@ -5,7 +5,7 @@
 from ..messages import Holding, RunRef, Withdraw
 from .entry_board import EntryBoard
 from .job_state import Outcome
-from .model import How, node_of
+from .model import How, instance_of
 from .ticket import Verdict
 
 REFUSED_PAUSE_S = 0.05
@@ -17,7 +17,7 @@
 
     Parameters
     ----------
-    board : EntryBoard
+    ctx : EntryBoard
         The jobs and where their runs are.
 
     Attributes
@@ -26,9 +26,9 @@
         When the present connection of each agent's process was opened.
     """
 
-    def __init__(self, board: EntryBoard) -> None:
+    def __init__(self, ctx: EntryBoard) -> None:
         self.opened_at: dict[str, float] = {}
-        self._board = board
+        self._ctx = ctx
 
     def compare(self, msg: Holding, agent: str) -> None:
         """Compare what an agent holds with what it was assigned, after a connection has opened.
@@ -40,46 +40,46 @@
         opened_at = self.opened_at.get(agent, 0.0)
         missing = [
             (name, run)
-            for (name, run), job in self._board.out[agent].items()
+            for (name, run), job in self._ctx.out[agent].items()
             if (name, run) not in held and job.tasks[name].sent_at < opened_at
         ]
         # A withdrawal may have been lost with the connection, and its job be at work elsewhere.
-        unwanted = [key for key in held if key not in self._board.out[agent]]
+        unwanted = [key for key in held if key not in self._ctx.out[agent]]
         if missing or unwanted:
             refs = [RunRef(*key) for key in sorted([*missing, *unwanted])]
-            self._board.links.send(agent, Withdraw(refs))
+            self._ctx.links.send(agent, Withdraw(refs))
 
     def take(self, agent: str, name: str, run: int, how: How) -> None:
         """Take in how a run of an agent ended."""
-        job = self._board.out[agent].pop((name, run), None)
+        job = self._ctx.out[agent].pop((name, run), None)
         if job is None or not job.ended(name, run, how):
-            self._board.metrics.count("late_ends", label=how.name.lower())
+            self._ctx.metrics.count("late_ends", label=how.name.lower())
             return
-        self._board.metrics.count("runs_back", label=how.name.lower())
+        self._ctx.metrics.count("runs_back", label=how.name.lower())
         if how in (How.NOT_STARTED, How.DRAINING):
-            self._board.view.of(agent).failed_until = self._board.clock.now() + REFUSED_PAUSE_S
+            self._ctx.view.of(agent).failed_until = self._ctx.clock.now() + REFUSED_PAUSE_S
         if how not in (How.DONE, How.NO_ROOM):
             logger.bind(task=name, run=run, peer=agent, how=how.name.lower()).info("run came back")
         if job.failed:
-            self._board.finish(job, Verdict(Outcome.FAILED, f"{name} failed too often"))
+            self._ctx.finish(job, Verdict(Outcome.FAILED, f"{name} failed too often"))
         elif job.is_done:
-            self._board.finish(job, Verdict(Outcome.COMPLETED, "every task is done"))
-        elif job.ready() and job.spec.job_id in self._board.jobs:
-            self._board.backlog.put(job)
+            self._ctx.finish(job, Verdict(Outcome.COMPLETED, "every task is done"))
+        elif job.ready() and job.spec.job_id in self._ctx.jobs:
+            self._ctx.backlog.put(job)
 
     def lose_earlier_lives(self, agent: str) -> None:
         """End what earlier processes of an agent's instance held: it has made sure of that."""
-        for process in list(self._board.view.agents):
-            if process != agent and node_of(process) == node_of(agent):
+        for process in list(self._ctx.view.agents):
+            if process != agent and instance_of(process) == instance_of(agent):
                 self.lose(process, "a later process of the agent is at work")
 
     def lose(self, process: str, reason: str) -> None:
         """End everything that an agent's process was assigned: nothing of it can run any more."""
-        self._board.view.forget(process)
-        held = list(self._board.out[process])
+        self._ctx.view.forget(process)
+        held = list(self._ctx.out[process])
         if held:
             logger.bind(peer=process, runs=len(held), reason=reason).warning("runs lost")
         for name, run in held:
             self.take(process, name, run, How.LOST)
-        self._board.out.pop(process, None)
+        self._ctx.out.pop(process, None)
         self.opened_at.pop(process, None)
--- a/src/gentianmux/leased/run_starts.py
+++ b/src/gentianmux/leased/run_starts.py
@@ -3,9 +3,9 @@
 from loguru import logger
 
 from ..messages import LeasedTask
-from .agent_board import AgentBoard, job_of
+from .agent_context import AgentContext, job_of
 from .model import How, StartVerdict
-from .room import Room
+from .resources import Resources
 from .run_stops import RunStops
 from .run_table import RunKey
 from .withdrawn import WithdrawnRuns
@@ -30,7 +30,7 @@
 
     Parameters
     ----------
-    board : AgentBoard
+    ctx : AgentContext
         The endpoint and its runs.
     stops : RunStops
         Stops an earlier run of a task.
@@ -45,9 +45,9 @@
     ``starts.begin(task, payload, "e1.5")`` gives how a run was refused, None when it begins.
     """
 
-    def __init__(self, board: AgentBoard, stops: RunStops) -> None:
+    def __init__(self, ctx: AgentContext, stops: RunStops) -> None:
         self.replacing: set[RunKey] = set()
-        self._board = board
+        self._ctx = ctx
         self._stops = stops
         self._withdrawn = WithdrawnRuns()
 
@@ -56,92 +56,92 @@
         key = (task.name, task.run)
         if self._withdrawn.holds(entry, key):
             return How.NOT_STARTED
-        if not self._board.is_accepting or task.estimate_ms > self._board.longest_ms():
+        if not self._ctx.is_accepting or task.estimate_ms > self._ctx.longest_ms():
             return How.DRAINING
-        if key in self._board.table.runs and self._board.table.runs[key].entry == entry:
+        if key in self._ctx.table.runs and self._ctx.table.runs[key].entry == entry:
             return None
-        if self._board.table.runs_of_task(task.name):
+        if self._ctx.table.runs_of_task(task.name):
             # An earlier run, perhaps of another entry, has to be gone first.
-            for run in self._board.table.runs_of_task(task.name):
+            for run in self._ctx.table.runs_of_task(task.name):
                 self._stops.stop(run.key, How.STOPPED, "replaced by a newer run")
             self._stops.stop_due()
-            until = self._board.clock.now() + REPLACE_S
+            until = self._ctx.clock.now() + REPLACE_S
             args = (task, payload, entry, until)
-            self._board.clock.later(REPLACE_CHECK_S, self._begin_when_gone, *args)
+            self._ctx.clock.later(REPLACE_CHECK_S, self._begin_when_gone, *args)
             self.replacing.add(key)
             return None
-        now = self._board.clock.now()
-        need = Room(task.cpu, task.mem_mb, task.gpu)
-        if not self._board.offered().fits(need):
+        now = self._ctx.clock.now()
+        need = Resources(task.cpu, task.mem_mb, task.gpu)
+        if not self._ctx.offered().fits(need):
             return How.NO_ROOM
-        if not self._board.table.begin(key, entry, need, task.estimate_ms, now):
+        if not self._ctx.table.begin(key, entry, need, task.estimate_ms, now):
             return How.NO_ROOM
-        self._board.reports.grants.task_cpu = need.cpu
-        self._board.metrics.count("runs_started")
+        self._ctx.reports.grants.task_cpu = need.cpu
+        self._ctx.metrics.count("runs_started")
         logger.bind(
             task=task.name,
             run=task.run,
             peer=entry,
             cpu=need.cpu,
-            free_cpu=self._board.table.room.free.cpu,
-            runs=len(self._board.table.runs),
+            free_cpu=self._ctx.table.room.free.cpu,
+            runs=len(self._ctx.table.runs),
         ).info("run begun")
-        self._board.clock.soon(self._start, task, payload)
+        self._ctx.clock.soon(self._start, task, payload)
         return None
 
     def _begin_when_gone(self, task: LeasedTask, payload: str, entry: str, until: float) -> None:
         """Begin a run once every earlier run of its task is gone, unless it was withdrawn."""
         if (task.name, task.run) not in self.replacing:
             return
-        now = self._board.clock.now()
-        gone = not self._board.table.runs_of_task(task.name)
+        now = self._ctx.clock.now()
+        gone = not self._ctx.table.runs_of_task(task.name)
         if not gone and now < until:
             args = (task, payload, entry, until)
-            self._board.clock.later(REPLACE_CHECK_S, self._begin_when_gone, *args)
+            self._ctx.clock.later(REPLACE_CHECK_S, self._begin_when_gone, *args)
             return
         self.replacing.discard((task.name, task.run))
-        fresh = self._board.reports.chain.holds(entry, now)
+        fresh = self._ctx.reports.chain.holds(entry, now)
         how = self.begin(task, payload, entry) if gone and fresh else How.NOT_STARTED
         if how is not None:
-            self._board.reports.ended(entry, task.name, task.run, how, 0)
-            self._board.reports.flush_ended(entry)
+            self._ctx.reports.ended(entry, task.name, task.run, how, 0)
+            self._ctx.reports.flush_ended(entry)
 
     def _start(self, task: LeasedTask, payload: str) -> None:
         key = (task.name, task.run)
-        now = self._board.clock.now()
-        if key not in self._board.table.runs:
+        now = self._ctx.clock.now()
+        if key not in self._ctx.table.runs:
             return
-        run = self._board.table.runs[key]
-        if run.carried or not self._board.reports.chain.holds(run.entry, now):
+        run = self._ctx.table.runs[key]
+        if run.carried or not self._ctx.reports.chain.holds(run.entry, now):
             # Its endpoint has started again, or the process stood still since it took the run on:
             # the room may be less, and the run at work elsewhere.
             self._end_unstarted(key, How.NOT_STARTED)
             return
-        if self._board.is_evacuated:
+        if self._ctx.is_evacuated:
             self._end_unstarted(key, How.DRAINING)
             return
-        verdict = self._board.driver.start(task.name, task.run, payload, self._board.lease_s, now)
-        now = self._board.clock.now()
+        verdict = self._ctx.driver.start(task.name, task.run, payload, self._ctx.lease_s, now)
+        now = self._ctx.clock.now()
         if verdict is StartVerdict.STARTED:
-            self._board.table.started(key, now)
+            self._ctx.table.started(key, now)
             return
         if verdict is StartVerdict.NO_ANSWER:
             logger.bind(task=task.name, run=task.run).warning("a start was not answered")
-            self._board.metrics.count("starts_unanswered")
-            self._board.table.unanswered(key, now)
-            self._board.looks.look_now()
+            self._ctx.metrics.count("starts_unanswered")
+            self._ctx.table.unanswered(key, now)
+            self._ctx.looks.look_now()
             self._stops.stop_due()
             return
         logger.bind(task=task.name, run=task.run, verdict=verdict.value).warning("start refused")
         if verdict is StartVerdict.UNHEALTHY:
-            self._board.health.ended(job_of(task.name), True, None, now)
+            self._ctx.health.ended(job_of(task.name), True, None, now)
         self._end_unstarted(key, _NOT_RUN[verdict])
 
     def _end_unstarted(self, key: RunKey, how: How) -> None:
-        done = self._board.table.refused(key, how)
+        done = self._ctx.table.refused(key, how)
         if done is not None:
-            self._board.end_all([done])
-            self._board.reports.offer_room()
+            self._ctx.end_all([done])
+            self._ctx.reports.offer_room()
 
     def take_back(self, key: RunKey, entry: str) -> None:
         """Promise that a run which has not begun, or has ended, will not begin any more.
@@ -149,5 +149,5 @@
         Only this proves to its entry that it did nothing: the order may still be on its way.
         """
         self.replacing.discard(key)
-        self._withdrawn.add(entry, key, self._board.clock.now())
-        self._board.reports.ended(entry, *key, How.NOT_STARTED, 0)
+        self._withdrawn.add(entry, key, self._ctx.clock.now())
+        self._ctx.reports.ended(entry, *key, How.NOT_STARTED, 0)
--- a/src/gentianmux/leased/run_table.py
+++ b/src/gentianmux/leased/run_table.py
@@ -7,7 +7,7 @@
 
 from .model import HoldReply, How
 from .progress import Progress
-from .room import Room, RoomAccount
+from .resources import Resources, RoomAccount
 
 RunKey = tuple[str, int]
 """A task's name and the number of its run."""
@@ -42,7 +42,7 @@
 
     key: RunKey
     entry: str
-    need: Room
+    need: Resources
     estimate_ms: int
     began: float
     phase: Phase = Phase.STARTING
@@ -76,8 +76,8 @@
     Examples
     --------
     >>> table = RunTable()
-    >>> table.reset(Room(2000, 64))
-    >>> table.begin(("t", 1), "e1", Room(1600, 64), 100, now=0.0)
+    >>> table.reset(Resources(2000, 64))
+    >>> table.begin(("t", 1), "e1", Resources(1600, 64), 100, now=0.0)
     True
     >>> table.room.free.cpu
     400
@@ -91,7 +91,7 @@
         self.looked = False
         self._stop_asked: dict[RunKey, float] = {}
 
-    def reset(self, capacity: Room) -> None:
+    def reset(self, capacity: Resources) -> None:
         """Begin with another life of the endpoint, which runs nothing of ours."""
         self.runs.clear()
         self.room = RoomAccount(capacity)
@@ -121,7 +121,7 @@
         """Whether the endpoint was looked at and runs nothing that an earlier agent began."""
         return self.looked and not self.foreign
 
-    def begin(self, key: RunKey, entry: str, need: Room, estimate_ms: int, now: float) -> bool:
+    def begin(self, key: RunKey, entry: str, need: Resources, estimate_ms: int, now: float) -> bool:
         """Take room for a run about to be started; false when there is none."""
         if key in self.runs or not self.room.take(key, need):
             return False
--- a/src/gentianmux/leased/run_watch.py
+++ b/src/gentianmux/leased/run_watch.py
@@ -1,6 +1,6 @@
 """Watches how the runs at an agent's endpoint fare, and stops those that will not end well."""
 
-from .agent_board import AgentBoard
+from .agent_context import AgentContext
 from .model import How
 from .progress import SLOW_FACTOR
 from .run_stops import RunStops
@@ -18,7 +18,7 @@
 
     Parameters
     ----------
-    board : AgentBoard
+    ctx : AgentContext
         The endpoint and its runs.
     stops : RunStops
         Stops what will not end well here.
@@ -28,27 +28,27 @@
     ``watch.watch_progress()`` after each look.
     """
 
-    def __init__(self, board: AgentBoard, stops: RunStops) -> None:
-        self._board = board
+    def __init__(self, ctx: AgentContext, stops: RunStops) -> None:
+        self._ctx = ctx
         self._stops = stops
 
     def watch_progress(self) -> None:
         """Stop runs that stand still, and use an endpoint less on which most are slow."""
-        now = self._board.clock.now()
-        running = [run for run in self._board.table.runs.values() if run.phase is Phase.RUNNING]
+        now = self._ctx.clock.now()
+        running = [run for run in self._ctx.table.runs.values() if run.phase is Phase.RUNNING]
         stalled = [run for run in running if run.progress.is_stalled(now)]
         for run in stalled:
             self._stops.stop(
                 run.key, How.STALLED, f"no progress beyond {run.progress.percent:.0f} %"
             )
         if stalled:
-            self._board.metrics.count("runs_stalled", len(stalled))
-            self._board.health.stalled(len(stalled), now)
+            self._ctx.metrics.count("runs_stalled", len(stalled))
+            self._ctx.health.stalled(len(stalled), now)
         slow = [run for run in running if self._is_slow(run, now)]
         if len(slow) >= 2 and len(slow) * 2 > len(running):
-            self._board.health.eject(now)
-        if self._board.health.is_ejected(now):
-            self._board.reports.load_soon()
+            self._ctx.health.eject(now)
+        if self._ctx.health.is_ejected(now):
+            self._ctx.reports.load_soon()
 
     def _is_slow(self, run: Run, now: float) -> bool:
         heading_ms = run.progress.heading_for_ms(now)
@@ -58,8 +58,8 @@
 
     def move_what_cannot_end(self, remaining_s: float) -> None:
         """Stop runs that the draining endpoint will not finish, so that they begin elsewhere."""
-        now = self._board.clock.now()
-        for run in list(self._board.table.runs.values()):
+        now = self._ctx.clock.now()
+        for run in list(self._ctx.table.runs.values()):
             heading_ms = run.progress.heading_for_ms(now) or float(run.estimate_ms)
             left_s = heading_ms / 1000 - (now - run.began)
             if run.phase is Phase.RUNNING and left_s > remaining_s + MOVE_ON_DRAIN_S:
--- a/src/gentianmux/log_watch.py
+++ b/src/gentianmux/log_watch.py
@@ -21,16 +21,16 @@
 
     Parameters
     ----------
-    board : Board
+    ctx : Board
         The blackboard; this puts itself there as ``watch``.
     """
 
-    def __init__(self, board: Board) -> None:
-        board.watch = self
-        self._board = board
+    def __init__(self, ctx: Board) -> None:
+        ctx.watch = self
+        self._ctx = ctx
         self.followers = {
-            config_state.STREAM: Follower(board.log, config_state.STREAM, board.config),
-            fleet_state.STREAM: Follower(board.log, fleet_state.STREAM, board.fleet),
+            config_state.STREAM: Follower(ctx.log, config_state.STREAM, ctx.config),
+            fleet_state.STREAM: Follower(ctx.log, fleet_state.STREAM, ctx.fleet),
         }
         self._announced = float("-inf")
         self._was_down = False
@@ -38,20 +38,20 @@
     def run(self) -> None:
         """Read for as long as the process lives."""
         while True:
-            own_append = self._board.read_soon.is_set()
-            self._board.read_soon.clear()
-            if own_append or self._board.cfg.read_from == FROM_LOG or not self._has_source():
+            own_append = self._ctx.read_soon.is_set()
+            self._ctx.read_soon.clear()
+            if own_append or self._ctx.cfg.read_from == FROM_LOG or not self._has_source():
                 self.read()
             else:
                 self.pull()
-            self._board.read_soon.wait(self._board.cfg.tail_ms / 1000)
+            self._ctx.read_soon.wait(self._ctx.cfg.tail_ms / 1000)
 
     def read(self) -> bool:
         """Read both streams to their ends; false when the log did not answer."""
         try:
             fresh = sum([follower.poll() for follower in self.followers.values()])
         except LogError as exc:
-            self._board.metrics.count("log_errors")
+            self._ctx.metrics.count("log_errors")
             self._note_down(True, str(exc))
             self.pull()
             return False
@@ -61,33 +61,32 @@
         return True
 
     def _after_reading(self, fresh: int) -> None:
-        board = self._board
+        ctx = self._ctx
         config, fleet = self.followers.values()
-        board.members.versions = Versions(config.next_offset - 1, fleet.next_offset - 1)
-        board.members.learn(board.fleet.processes.values(), board.now())
-        if fresh and board.is_agent:
-            board.keeper.on_fleet()
-        if fresh and board.me.role != "agent":
-            board.dispatcher.on_fleet()
+        ctx.members.versions = Versions(config.next_offset - 1, fleet.next_offset - 1)
+        ctx.members.learn(ctx.fleet.processes.values(), ctx.now())
+        if fresh and ctx.is_agent:
+            ctx.keeper.on_fleet()
+        if fresh and ctx.me.role != "agent":
+            ctx.dispatcher.on_fleet()
 
     # Peers
 
     def _has_source(self) -> bool:
-        return any(self._board.members.is_alive(each) for each in self._board.members.heard)
+        return any(self._ctx.members.is_alive(each) for each in self._ctx.members.heard)
 
     def pull(self) -> None:
         """Ask a peer that is ahead for what this process has not read."""
-        heard = self._board.members.heard
+        heard = self._ctx.members.heard
         for number, (stream, follower) in enumerate(self.followers.items()):
             ahead = [
                 process
                 for process, versions in heard.items()
-                if versions[number] >= follower.next_offset
-                and self._board.members.is_alive(process)
+                if versions[number] >= follower.next_offset and self._ctx.members.is_alive(process)
             ]
             if ahead:
-                source = self._board.rng.choice(ahead)
-                self._board.peers.send(source, StatePull(stream, follower.next_offset - 1))
+                source = self._ctx.rng.choice(ahead)
+                self._ctx.peers.send(source, StatePull(stream, follower.next_offset - 1))
 
     def on_pull(self, msg: StatePull, sender: str) -> None:
         """Hand on what this process has read beyond a version."""
@@ -98,7 +97,7 @@
         records = follower.records_after(msg.version)
         snapshot = follower.fold.snapshot() if records is None else ""
         handed = [LogRecord(*each) for each in records or ()]
-        self._board.peers.send(sender, StateBody(msg.stream, version, snapshot, handed))
+        self._ctx.peers.send(sender, StateBody(msg.stream, version, snapshot, handed))
 
     def on_body(self, msg: StateBody) -> None:
         """Take in what a peer has read; a lower version than this process's changes nothing."""
@@ -115,40 +114,40 @@
     # Records of this process
 
     def _announce(self) -> None:
-        board = self._board
-        joined = board.process in board.fleet.processes
-        if joined or board.draining or board.now() - self._announced < ANNOUNCE_AGAIN_S:
+        ctx = self._ctx
+        joined = ctx.process in ctx.fleet.processes
+        if joined or ctx.draining or ctx.now() - self._announced < ANNOUNCE_AGAIN_S:
             return
-        self._announced = board.now()
-        board.clock.soon(self.append, fleet_state.STREAM, to_json(board.me))
+        self._announced = ctx.now()
+        ctx.clock.soon(self.append, fleet_state.STREAM, to_json(ctx.me))
 
     def append(self, stream: str, data: str) -> bool:
         """Append to a stream; false when it is not known whether that took effect."""
-        self._board.metrics.count("log_appends")
+        self._ctx.metrics.count("log_appends")
         try:
-            self._board.log.append(stream, data)
+            self._ctx.log.append(stream, data)
         except LogError:
-            self._board.metrics.count("log_errors")
+            self._ctx.metrics.count("log_errors")
             return False
-        self._board.read_soon.set()
+        self._ctx.read_soon.set()
         return True
 
     def leave(self, records_to: str = "") -> bool:
         """Say in the log that this process has stopped, and who holds its start records."""
-        record = Leave(self._board.process, self._board.now_ms(), records_to)
+        record = Leave(self._ctx.process, self._ctx.now_ms(), records_to)
         return self.append(fleet_state.STREAM, to_json(record))
 
     def append_snapshots(self) -> None:
         """Append a snapshot of a stream that has grown long, if this process is to do it."""
         for number, (stream, follower) in enumerate(self.followers.items()):
             grown = follower.next_offset - follower.snapshot_at
-            if grown > self._board.cfg.snapshot_every and self._is_writer(number):
+            if grown > self._ctx.cfg.snapshot_every and self._is_writer(number):
                 self.append(stream, follower.fold.snapshot())
 
     def _is_writer(self, number: int) -> bool:
-        live = [each.process for each in self._board.members.alive()]
+        live = [each.process for each in self._ctx.members.alive()]
         chosen = max(live, key=lambda each: rendezvous(number, each), default="")
-        return chosen == self._board.process
+        return chosen == self._ctx.process
 
     def _note_down(self, down: bool, why: str) -> None:
         if down != self._was_down:
--- a/src/gentianmux/messages.py
+++ b/src/gentianmux/messages.py
@@ -329,7 +329,7 @@
 
 
 class LeasedTask(NamedTuple):
-    """One run of a task for an agent to start; resources as in ``leased.room.Room``.
+    """One run of a task for an agent to start; resources as in ``leased.room.Resources``.
 
     ``payload`` is the number of its payload among those of its assignment.
     """
--- a/src/gentianmux/node.py
+++ b/src/gentianmux/node.py
@@ -58,25 +58,25 @@
     Examples
     --------
     >>> node = Node(Settings(role="entry", name="e1"))
-    >>> node.board.me.role
+    >>> node.ctx.me.role
     'entry'
     """
 
     def __init__(self, cfg: Settings, log: PlatformLog | None = None) -> None:
-        self.board = Board(cfg, announce(cfg), log or HttpLog(cfg.log_url))
-        self.peers = Peers(self.board, handle, lambda name, conn: on_lost(name, conn, self.board))
-        self.gossip = GossipServer(self.board)
-        self.watch = LogWatch(self.board)
-        self.witness = Witness(self.board)
-        self.board.members.on_change = self.witness.on_change
-        if self.board.is_agent:
-            ShardKeeper(self.board)
-            Coordinator(self.board)
-            Placement(self.board)
-            Executor(self.board)
+        self.ctx = Board(cfg, announce(cfg), log or HttpLog(cfg.log_url))
+        self.peers = Peers(self.ctx, handle, lambda name, conn: on_lost(name, conn, self.ctx))
+        self.gossip = GossipServer(self.ctx)
+        self.watch = LogWatch(self.ctx)
+        self.witness = Witness(self.ctx)
+        self.ctx.members.on_change = self.witness.on_change
+        if self.ctx.is_agent:
+            ShardKeeper(self.ctx)
+            Coordinator(self.ctx)
+            Placement(self.ctx)
+            Executor(self.ctx)
         if cfg.role != "agent":
-            Dispatcher(self.board)
-        self.http = HttpServer(cfg.http_address, CallerApi(self.board), cfg, tls=True)
+            Dispatcher(self.ctx)
+        self.http = HttpServer(cfg.http_address, CallerApi(self.ctx), cfg, tls=True)
         self._loops: list[Greenlet] = []
 
     def start(self) -> None:
@@ -91,24 +91,24 @@
         self.gossip.start()
         self.http.start()
         loops = [self.watch.run, self.gossip.run, self._upkeep]
-        if self.board.is_agent:
-            board = self.board
-            loops += [board.keeper.run_leases, board.coordinator.run_backlog]
-            loops += [board.executor.run_renewals]
+        if self.ctx.is_agent:
+            ctx = self.ctx
+            loops += [ctx.keeper.run_leases, ctx.coordinator.run_backlog]
+            loops += [ctx.executor.run_renewals]
         self._loops = [gevent.spawn(loop) for loop in loops]
-        logger.info("started as {} on {}", self.board.me.role, self.board.cfg.peer_address)
+        logger.info("started as {} on {}", self.ctx.me.role, self.ctx.cfg.peer_address)
 
     def _upkeep(self) -> None:
         while True:
-            due = self.board.now() + UPKEEP_S
+            due = self.ctx.now() + UPKEEP_S
             gevent.sleep(UPKEEP_S)
-            self.board.metrics.gauge("loop_lag_ms", max(0.0, (self.board.now() - due) * 1000))
-            self.board.metrics.flush()
+            self.ctx.metrics.gauge("loop_lag_ms", max(0.0, (self.ctx.now() - due) * 1000))
+            self.ctx.metrics.flush()
             self.witness.check_dead()
             self.watch.append_snapshots()
-            if self.board.is_agent:
-                self.board.keeper.trim()
-                self.board.executor.records.trim(self.board.now_ms())
+            if self.ctx.is_agent:
+                self.ctx.keeper.trim()
+                self.ctx.executor.records.trim(self.ctx.now_ms())
 
     def drain(self) -> bool:
         """Take nothing new, finish what is in flight, and hand the shards over.
@@ -118,44 +118,44 @@
         bool
             Whether everything ended within the settings' ``drain_s``.
         """
-        board = self.board
-        until = board.now() + board.cfg.drain_s
-        board.draining = True
-        board.members.leave()
+        ctx = self.ctx
+        until = ctx.now() + ctx.cfg.drain_s
+        ctx.draining = True
+        ctx.members.leave()
         logger.info("draining")
         gevent.sleep(NOTICE_S)
         while not self._is_empty():
-            if board.now() > until:
+            if ctx.now() > until:
                 logger.warning("gave up draining with work in flight")
                 return False
-            if board.is_agent:
-                board.keeper.moves.release_all()
+            if ctx.is_agent:
+                ctx.keeper.moves.release_all()
             gevent.sleep(DRAIN_STEP_S)
         self.watch.leave(self._hand_over_records(until))
         return True
 
     def _hand_over_records(self, until: float) -> str:
         """Give the start records to another agent and return its name, empty for none."""
-        board = self.board
-        while board.is_agent and board.now() < until:
-            target = board.keeper.moves.records_target()
-            if not target or board.executor.hand_over_records(target):
+        ctx = self.ctx
+        while ctx.is_agent and ctx.now() < until:
+            target = ctx.keeper.moves.records_target()
+            if not target or ctx.executor.hand_over_records(target):
                 return target
             gevent.sleep(DRAIN_STEP_S)
         return ""
 
     def _is_empty(self) -> bool:
-        board = self.board
-        if board.me.role != "agent" and board.dispatcher.inflight:
+        ctx = self.ctx
+        if ctx.me.role != "agent" and ctx.dispatcher.inflight:
             return False
-        if not board.is_agent:
+        if not ctx.is_agent:
             return True
-        parted = board.executor.say_farewell()
-        idle = board.executor.is_idle() and not board.coordinator.jobs
+        parted = ctx.executor.say_farewell()
+        idle = ctx.executor.is_idle() and not ctx.coordinator.jobs
         return parted and idle and not self._shards_to_move()
 
     def _shards_to_move(self) -> bool:
-        return bool(self.board.keeper.owned) and self.board.keeper.moves.has_target()
+        return bool(self.ctx.keeper.owned) and self.ctx.keeper.moves.has_target()
 
     def stop(self) -> None:
         """Close everything at once."""
--- a/src/gentianmux/peers.py
+++ b/src/gentianmux/peers.py
@@ -28,7 +28,7 @@
 
     Parameters
     ----------
-    board : Board
+    ctx : Board
         The blackboard; this puts itself there as ``peers``.
     handle : callable
         Called with each message, the board and the sending process; must not block.
@@ -37,18 +37,18 @@
 
     Examples
     --------
-    ``board.peers.send("w1.1764690000000", msg)`` queues the message and returns at once.
+    ``ctx.peers.send("w1.1764690000000", msg)`` queues the message and returns at once.
     """
 
-    def __init__(self, board: Board, handle: Handler, on_lost: Callable[[str, Conn], None]) -> None:
-        board.peers = self
-        self._board = board
+    def __init__(self, ctx: Board, handle: Handler, on_lost: Callable[[str, Conn], None]) -> None:
+        ctx.peers = self
+        self._ctx = ctx
         self._handle = handle
         self._on_lost = on_lost
-        self._key = board.cfg.peer_key.encode()
+        self._key = ctx.cfg.peer_key.encode()
         self._conns: dict[str, Conn] = {}
         self._open: set[Conn] = set()
-        ip, _, port = board.cfg.peer_address.partition(":")
+        ip, _, port = ctx.cfg.peer_address.partition(":")
         self._server = StreamServer((ip, int(port)), self._serve)
 
     def start(self) -> None:
@@ -70,15 +70,15 @@
             False when it certainly does not leave: the process is not known, or its connection
             cannot take more.
         """
-        if process == self._board.process:
-            self._board.clock.soon(self._handle, msg, self._board, process)
+        if process == self._ctx.process:
+            self._ctx.clock.soon(self._handle, msg, self._ctx, process)
             return True
         conn = self._conns.get(process) or self._dial(process)
         if conn is None:
             return False
         frame = pack(encode(msg), self._key)
-        self._board.metrics.count("frames_out", label=type(msg).__name__)
-        self._board.metrics.count("bytes_out", len(frame))
+        self._ctx.metrics.count("frames_out", label=type(msg).__name__)
+        self._ctx.metrics.count("bytes_out", len(frame))
         return conn.put(frame)
 
     def is_connected(self, process: str) -> bool:
@@ -87,11 +87,11 @@
 
     def knock(self, process: str) -> None:
         """Connect to a process if there is no connection, to learn whether it is there."""
-        if process != self._board.process and process not in self._conns:
+        if process != self._ctx.process and process not in self._conns:
             self._dial(process)
 
     def _dial(self, process: str) -> Conn | None:
-        address = self._board.address_of(process)
+        address = self._ctx.address_of(process)
         if address is None:
             return None
         conn = Conn(process, address)
@@ -152,8 +152,8 @@
         try:
             for body in frames:
                 msg = decode(body)
-                self._board.metrics.count("frames_in", label=type(msg).__name__)
-                self._handle(msg, self._board, conn.process)
+                self._ctx.metrics.count("frames_in", label=type(msg).__name__)
+                self._handle(msg, self._ctx, conn.process)
         except (OSError, FrameError) as exc:
             self._note_bad(exc)
         finally:
@@ -169,11 +169,11 @@
 
     def _note_bad(self, exc: BaseException) -> None:
         if isinstance(exc, FrameError):
-            self._board.metrics.count("bad_frames")
+            self._ctx.metrics.count("bad_frames")
             logger.bind(code=int(exc.code)).warning("connection closed: {}", exc)
 
     def _hello(self) -> Hello:
-        me = self._board.me
+        me = self._ctx.me
         return Hello(PROTOCOL_VERSION, me.process, me.role, me.address)
 
 
--- a/src/gentianmux/platform/callers.py
+++ b/src/gentianmux/platform/callers.py
@@ -16,7 +16,7 @@
 from ..leased.entry import Entry
 from ..leased.job_state import Outcome
 from ..leased.model import JobSpec, QueueRules, RequestLimits, StepSpec
-from ..leased.room import Room
+from ..leased.resources import Resources
 from ..metrics import Metrics
 from ..settings import Settings
 
@@ -225,7 +225,7 @@
     # ``anti_affinity`` is a number: the most tasks of the step on one endpoint.
     return StepSpec(
         tasks=_whole(row, "count", 1),
-        need=Room(_whole(row, "cpu"), _whole(row, "mem_mb"), _whole(row, "gpu")),
+        need=Resources(_whole(row, "cpu"), _whole(row, "mem_mb"), _whole(row, "gpu")),
         estimate_ms=_whole(row, "estimate_ms"),
         after=tuple(after),
         requires=_text(row, "requires"),
--- a/src/gentianmux/platform/endpoint.py
+++ b/src/gentianmux/platform/endpoint.py
@@ -18,7 +18,7 @@
     NoAnswer,
     StartVerdict,
 )
-from ..leased.room import Room
+from ..leased.resources import Resources
 from ..typed_json import number, read_object, table, text, texts, whole
 from .http_call import HttpCaller, HttpReply
 
@@ -84,7 +84,7 @@
         service=text(content, "service"),
         # ``zone`` is what this project calls a failure domain.
         failure_domain=text(content, "zone"),
-        capacity=Room(whole(room, "cpu"), whole(room, "mem_mb"), whole(room, "gpu", 0)),
+        capacity=Resources(whole(room, "cpu"), whole(room, "mem_mb"), whole(room, "gpu", 0)),
         labels=texts(content, "labels"),
         draining=state == "draining",
         drain_remaining_s=number(content, "drain_remaining_ms", 0) / 1000,
--- a/src/gentianmux/shard_keeper.py
+++ b/src/gentianmux/shard_keeper.py
@@ -53,36 +53,36 @@
 
     Parameters
     ----------
-    board : Board
+    ctx : Board
         The blackboard; this puts itself there as ``keeper``.
     """
 
-    def __init__(self, board: Board) -> None:
-        board.keeper = self
+    def __init__(self, ctx: Board) -> None:
+        ctx.keeper = self
         self.owned: dict[int, OwnedShard] = {}
         self.heir_of: dict[int, tuple[Shard, HeirLease]] = {}
-        self.traces = TraceCollector(board)
-        self._board = board
-        self._times = LeaseTimes(board.cfg.lease_ms / 1000)
-        cfg = board.cfg
+        self.traces = TraceCollector(ctx)
+        self._ctx = ctx
+        self._times = LeaseTimes(ctx.cfg.lease_ms / 1000)
+        cfg = ctx.cfg
         self._bounds = LedgerBounds(cfg.keep_s * 1000, cfg.skew_ms, cfg.ledger_kb * 1024)
-        self.moves = ShardMoves(board, self)
+        self.moves = ShardMoves(ctx, self)
         self._taking: dict[int, float] = {}
         self._claimed: dict[int, tuple[int, float]] = {}
         self._revokes: dict[str, list[str]] = defaultdict(list)
         self._early: dict[str, LeaseRequest] = {}
         self._ownerless: list[int] = []
-        self._started = board.now()
+        self._started = ctx.now()
 
     # What others ask
 
     def refusal(self, shard: int) -> ResultCode | None:
         """Why this agent may not speak for a shard now; None when it may."""
         owned = self.owned.get(shard)
-        row = self._board.fleet.shards[shard]
-        if owned is None or row.owner != self._board.process:
+        row = self._ctx.fleet.shards[shard]
+        if owned is None or row.owner != self._ctx.process:
             return ResultCode.NOT_OWNER
-        if not owned.lease.is_valid(row, self._board.now()):
+        if not owned.lease.is_valid(row, self._ctx.now()):
             return ResultCode.LEASE_LAPSED
         return None
 
@@ -103,8 +103,8 @@
 
     def on_fleet(self) -> None:
         """Follow the shard table after new records were folded."""
-        me, now = self._board.process, self._board.now()
-        for number, row in enumerate(self._board.fleet.shards):
+        me, now = self._ctx.process, self._ctx.now()
+        for number, row in enumerate(self._ctx.fleet.shards):
             owned = self.owned.get(number)
             if row.owner == me:
                 if owned is None or owned.epoch != row.epoch:
@@ -112,46 +112,46 @@
             elif owned is not None:
                 self._drop(number, owned)
             self._follow_heir(number, row, now)
-        gone = self._board.fleet.is_gone
-        self._ownerless = [n for n, row in enumerate(self._board.fleet.shards) if gone(row.owner)]
+        gone = self._ctx.fleet.is_gone
+        self._ownerless = [n for n, row in enumerate(self._ctx.fleet.shards) if gone(row.owner)]
         self._answer_early()
         self._renew(fresh_only=True)
 
     def _gain(self, number: int, row: Shard, now: float) -> None:
         ledger = self.moves.received_ledger(number, row, self._bounds) or self._fresh_ledger(row)
-        lease = OwnerLease(self._times, self._board.process)
+        lease = OwnerLease(self._times, self._ctx.process)
         self.owned[number] = OwnedShard(row, ledger, lease, now)
         self._taking.pop(number, None)
         logger.bind(shard=number, epoch=row.epoch).debug("owns shard")
 
     def _fresh_ledger(self, row: Shard) -> Ledger:
         whole = row.prior == NOBODY and not row.handed
-        return Ledger(self._bounds, NO_TIME if whole else self._board.now_ms())
+        return Ledger(self._bounds, NO_TIME if whole else self._ctx.now_ms())
 
     def _drop(self, number: int, owned: OwnedShard) -> None:
         del self.owned[number]
-        self._board.coordinator.abandon_shard(number, owned.epoch)
+        self._ctx.coordinator.abandon_shard(number, owned.epoch)
         logger.bind(shard=number, epoch=owned.epoch).debug("no longer owns shard")
 
     def _follow_heir(self, number: int, row: Shard, now: float) -> None:
         known = self.heir_of.get(number)
-        if row.heir != self._board.process:
+        if row.heir != self._ctx.process:
             self.heir_of.pop(number, None)
         elif known is None or known[0].base != row.base:
-            self.heir_of[number] = (row, HeirLease(self._times, self._board.process, now))
+            self.heir_of[number] = (row, HeirLease(self._times, self._ctx.process, now))
 
     # Leases
 
     def on_lease_request(self, msg: LeaseRequest, sender: str) -> None:
         """Grant, as heir, what the newest records allow; keep what is ahead of them."""
-        now = self._board.now()
+        now = self._ctx.now()
         granted = [each for each in msg.shards if self._grant(each, msg.process, now)]
         if granted:
-            self._board.peers.send(sender, LeaseGrant(self._board.process, msg.sent, granted))
-        ahead = [each for each in msg.shards if each.base > self._board.fleet.version]
+            self._ctx.peers.send(sender, LeaseGrant(self._ctx.process, msg.sent, granted))
+        ahead = [each for each in msg.shards if each.base > self._ctx.fleet.version]
         if ahead:
             self._early[sender] = msg._replace(shards=ahead)
-            self._board.read_soon.set()
+            self._ctx.read_soon.set()
 
     def _answer_early(self) -> None:
         """Answer renewals that arrived before the records they stand on had been read."""
@@ -167,23 +167,23 @@
         """Note, as owner, the heir's grants."""
         for each in msg.shards:
             owned = self.owned.get(each.shard)
-            if owned is not None and self._board.fleet.shards[each.shard].heir == msg.process:
+            if owned is not None and self._ctx.fleet.shards[each.shard].heir == msg.process:
                 owned.lease.on_grant(each.base, msg.sent)
 
     def run_leases(self) -> None:
         """Renew, change heirs, take over and claim, for as long as the process lives."""
         while True:
-            gevent.sleep(self._board.cfg.renew_ms / 1000)
+            gevent.sleep(self._ctx.cfg.renew_ms / 1000)
             self.step()
 
     def step(self) -> None:
         """One round of renewals and decisions."""
         self._renew()
-        if self._board.members.isolated:
+        if self._ctx.members.isolated:
             return
         self._mend_heirs()
         self._take_over()
-        if self._board.now() - self._started > SETTLE_S:
+        if self._ctx.now() - self._started > SETTLE_S:
             self._claim_ownerless()
             self.moves.balance()
 
@@ -191,39 +191,39 @@
         """Ask heirs to renew; ``fresh_only`` asks for shards whose newest record is new here."""
         by_heir: dict[str, list[ShardLease]] = defaultdict(list)
         for number, owned in self.owned.items():
-            row = self._board.fleet.shards[number]
+            row = self._ctx.fleet.shards[number]
             asked = owned.asked_base == row.base
             changing = owned.lease.is_frozen(row) and owned.pending is not None
             if row.heir != NOBODY and not changing and not (fresh_only and asked):
                 owned.asked_base = row.base
                 by_heir[row.heir].append(ShardLease(number, row.base))
         for heir, shards in by_heir.items():
-            request = LeaseRequest(self._board.process, self._board.now(), shards)
-            self._board.peers.send(heir, request)
+            request = LeaseRequest(self._ctx.process, self._ctx.now(), shards)
+            self._ctx.peers.send(heir, request)
 
     def _mend_heirs(self) -> None:
         """Name another heir where the present one is missing or has stopped granting."""
-        now = self._board.now()
+        now = self._ctx.now()
         changes = []
         for number, owned in self.owned.items():
-            row = self._board.fleet.shards[number]
+            row = self._ctx.fleet.shards[number]
             if owned.lease.is_valid(row, now) and row.heir != NOBODY:
                 owned.valid_until_seen = now
                 owned.pending = None
             elif self.is_pending(number, owned, row, now) or owned.moving_to:
                 continue
             elif self._needs_heir(owned, row, now):
-                heir = self.heir_for(number, self._board.process)
+                heir = self.heir_for(number, self._ctx.process)
                 if heir not in (NOBODY, row.heir):
                     owned.lease.freeze(row.base)
                     changes.append(ShardChange(number, row.base, heir))
-        self.append_change(HeirChange(self._board.process, changes))
+        self.append_change(HeirChange(self._ctx.process, changes))
 
     def _needs_heir(self, owned: OwnedShard, row: Shard, now: float) -> bool:
         if row.heir == NOBODY:
             return True
         silent_s = now - owned.valid_until_seen
-        gone = not self._board.members.is_alive(row.heir)
+        gone = not self._ctx.members.is_alive(row.heir)
         return silent_s > (0 if gone else 2 * self._times.lease_s)
 
     def is_pending(self, number: int, owned: OwnedShard, row: Shard, now: float) -> bool:
@@ -242,11 +242,11 @@
         for each in record.shards:
             owned = self.owned[each.shard]
             owned.pending = record._replace(shards=[each])
-            owned.pending_since = self._board.now()
+            owned.pending_since = self._ctx.now()
         self.append(record)
 
     def _take_over(self) -> None:
-        now = self._board.now()
+        now = self._ctx.now()
         ready = [
             (number, row)
             for number, (row, lease) in self.heir_of.items()
@@ -255,29 +255,29 @@
         self._append_take_over(ready, now)
 
     def _append_take_over(self, ready: list[tuple[int, Shard]], now: float) -> None:
-        if not ready or self._board.draining:
+        if not ready or self._ctx.draining:
             return
         changes = []
         for number, row in ready:
             self.heir_of[number][1].begin_take_over(row)
             self._taking[number] = now
-            heir = self.heir_for(number, self._board.process, avoid=row.owner)
+            heir = self.heir_for(number, self._ctx.process, avoid=row.owner)
             changes.append(ShardChange(number, row.base, heir))
-        self._board.metrics.count("take_overs", len(changes))
-        self.append(TakeOver(self._board.process, self._board.now_ms(), changes))
+        self._ctx.metrics.count("take_overs", len(changes))
+        self.append(TakeOver(self._ctx.process, self._ctx.now_ms(), changes))
 
     def _should_take_over(self, number: int, row: Shard, lease: HeirLease, now: float) -> bool:
         if number in self._taking and lease.is_leaving(row):
             return now - self._taking[number] > REAPPEND_S
         # A leaving owner moves its shards itself, ledgers and all; it is waited for while it lives.
-        present = self._board.members.state_of(row.owner) in (State.ALIVE, State.LEAVING)
-        if present or self._board.draining:
+        present = self._ctx.members.state_of(row.owner) in (State.ALIVE, State.LEAVING)
+        if present or self._ctx.draining:
             return False
-        return self._board.fleet.is_gone(row.owner) or lease.may_take_over(row, now)
+        return self._ctx.fleet.is_gone(row.owner) or lease.may_take_over(row, now)
 
     def on_ended(self, process: str) -> None:
         """Take over, as heir, from an owner that is proved to have ended; no lease to wait for."""
-        now = self._board.now()
+        now = self._ctx.now()
         ready = [
             (number, row)
             for number, (row, lease) in self.heir_of.items()
@@ -288,21 +288,21 @@
     # Claims and balance
 
     def _claim_ownerless(self) -> None:
-        board = self._board
-        if board.draining or board.fleet.is_gone(board.process):
+        ctx = self._ctx
+        if ctx.draining or ctx.fleet.is_gone(ctx.process):
             return
-        now = board.now()
+        now = ctx.now()
         changes = [
-            ShardChange(number, row.base, self.heir_for(number, board.process))
-            for number, row in ((n, board.fleet.shards[n]) for n in self._ownerless)
-            if board.fleet.is_gone(row.owner)
+            ShardChange(number, row.base, self.heir_for(number, ctx.process))
+            for number, row in ((n, ctx.fleet.shards[n]) for n in self._ownerless)
+            if ctx.fleet.is_gone(row.owner)
             and not self._claimed_lately(number, row, now)
-            and self.best(number, self.live_agents()) == board.process
+            and self.best(number, self.live_agents()) == ctx.process
         ]
         for each in changes:
             self._claimed[each.shard] = (each.base, now)
         if changes:
-            self.append(Claim(board.process, board.now_ms(), changes))
+            self.append(Claim(ctx.process, ctx.now_ms(), changes))
 
     def _claimed_lately(self, number: int, row: Shard, now: float) -> bool:
         base, at = self._claimed.get(number, (row.base - 1, 0.0))
@@ -313,39 +313,39 @@
     def revoke_soon(self, agent: str, key: str) -> None:
         """Revoke a job's tasks at an agent, together with others of the next moments."""
         if not self._revokes[agent]:
-            self._board.clock.later(REVOKE_WINDOW_S, self._send_revokes, agent)
+            self._ctx.clock.later(REVOKE_WINDOW_S, self._send_revokes, agent)
         self._revokes[agent].append(key)
 
     def _send_revokes(self, agent: str) -> None:
-        self._board.peers.send(agent, Revoke(self._revokes.pop(agent)))
+        self._ctx.peers.send(agent, Revoke(self._revokes.pop(agent)))
 
     # Appending and choosing
 
     def append(self, record: FleetRecord) -> None:
         """Append a record without waiting; what became of it is read from the log."""
-        self._board.clock.soon(self._append, record)
+        self._ctx.clock.soon(self._append, record)
 
     def _append(self, record: FleetRecord) -> None:
-        self._board.metrics.count("log_appends")
+        self._ctx.metrics.count("log_appends")
         try:
-            self._board.log.append(STREAM, to_json(record))
+            self._ctx.log.append(STREAM, to_json(record))
         except LogError:
-            self._board.metrics.count("log_errors")
-        self._board.read_soon.set()
+            self._ctx.metrics.count("log_errors")
+        self._ctx.read_soon.set()
 
     def trim(self) -> None:
         """Let ledgers forget what their bounds say."""
-        now_ms = self._board.now_ms()
+        now_ms = self._ctx.now_ms()
         for owned in self.owned.values():
             owned.ledger.trim(now_ms)
 
     def live_agents(self) -> list[str]:
         """Agents that the log names and that are thought alive."""
-        board = self._board
+        ctx = self._ctx
         return [
             join.process
-            for join in board.fleet.processes.values()
-            if join.role != "entry" and board.members.is_alive(join.process)
+            for join in ctx.fleet.processes.values()
+            if join.role != "entry" and ctx.members.is_alive(join.process)
         ]
 
     def best(self, number: int, agents: Iterable[str]) -> str:
@@ -354,7 +354,7 @@
 
     def heir_for(self, number: int, owner: str, avoid: str = NOBODY) -> str:
         """The best agent in another failure domain than the owner's, or else the best."""
-        processes = self._board.fleet.processes
+        processes = self._ctx.fleet.processes
         domain = processes[owner].failure_domain if owner in processes else ""
         others = [each for each in self.live_agents() if each not in (owner, avoid)]
         elsewhere = [each for each in others if processes[each].failure_domain != domain]
--- a/src/gentianmux/shard_moves.py
+++ b/src/gentianmux/shard_moves.py
@@ -32,14 +32,14 @@
 
     Parameters
     ----------
-    board : Board
+    ctx : Board
         The blackboard.
     keeper : ShardKeeper
         The shards that this agent owns.
     """
 
-    def __init__(self, board: Board, keeper: "ShardKeeper") -> None:
-        self._board = board
+    def __init__(self, ctx: Board, keeper: "ShardKeeper") -> None:
+        self._ctx = ctx
         self._keeper = keeper
         self._incoming: dict[int, Incoming] = {}
 
@@ -56,12 +56,12 @@
         ledger.timeless_lost = first.timeless_lost
         for part in incoming.parts:
             ledger.load(part.entries, part.fingerprints)
-        self._board.metrics.count("handovers")
+        self._ctx.metrics.count("handovers")
         return ledger
 
     def balance(self) -> None:
         """Move shards to the agents that rendezvous hashing prefers, a few at a time."""
-        if self._board.draining:
+        if self._ctx.draining:
             return
         agents = self._keeper.live_agents()
         moving = sum(1 for owned in self._keeper.owned.values() if owned.moving_to)
@@ -69,13 +69,13 @@
             if moving >= MOVES_AT_ONCE:
                 return
             best = self._keeper.best(number, agents)
-            if best not in (self._board.process, NOBODY) and self._begin_move(number, best):
+            if best not in (self._ctx.process, NOBODY) and self._begin_move(number, best):
                 moving += 1
 
     def _begin_move(self, number: int, target: str) -> bool:
         owned = self._keeper.owned[number]
-        row = self._board.fleet.shards[number]
-        if owned.moving_to or not owned.lease.is_valid(row, self._board.now()):
+        row = self._ctx.fleet.shards[number]
+        if owned.moving_to or not owned.lease.is_valid(row, self._ctx.now()):
             return False
         # The lease is valid, so whatever change was pending has been read back.
         owned.pending = None
@@ -90,11 +90,11 @@
         if self._keeper.owned.get(number) is not owned or owned.move != move:
             return
         if owned.ledger.has_running():
-            self._board.clock.later(MOVE_POLL_S, self._send_ledger, number, owned, row, move)
+            self._ctx.clock.later(MOVE_POLL_S, self._send_ledger, number, owned, row, move)
             return
-        for part in _handover_parts(number, row.base, self._board.process, owned):
-            self._board.peers.send(owned.moving_to, part)
-        self._board.clock.later(MOVE_REPLY_S, self._check_reply, owned, move)
+        for part in _handover_parts(number, row.base, self._ctx.process, owned):
+            self._ctx.peers.send(owned.moving_to, part)
+        self._ctx.clock.later(MOVE_REPLY_S, self._check_reply, owned, move)
 
     def _check_reply(self, owned: "OwnedShard", move: int) -> None:
         # Nothing is appended before the reply, so a move without one can be called off.
@@ -108,7 +108,7 @@
 
     def on_handover(self, msg: LedgerHandover, sender: str) -> None:
         """Take in a ledger that is being moved here."""
-        taken = not self._board.draining
+        taken = not self._ctx.draining
         known = self._incoming.get(msg.shard)
         move = (msg.base, msg.process, msg.move)
         if known is None or (known.base, known.process, known.move) != move:
@@ -117,12 +117,12 @@
         known.parts.append(msg)
         if msg.last:
             reply = HandoverReply(msg.shard, msg.base, msg.move, taken)
-            self._board.peers.send(sender, reply)
+            self._ctx.peers.send(sender, reply)
 
     def on_handover_reply(self, msg: HandoverReply, sender: str) -> None:
         """Append the record of a planned move, once its target holds the ledger."""
         owned = self._keeper.owned.get(msg.shard)
-        row = self._board.fleet.shards[msg.shard]
+        row = self._ctx.fleet.shards[msg.shard]
         if owned is None or (row.base, owned.move) != (msg.base, msg.move):
             return
         if owned.moving_to != sender or owned.pending is not None:
@@ -132,26 +132,26 @@
             return
         heir = self._keeper.heir_for(msg.shard, sender)
         change = ShardChange(msg.shard, row.base, heir)
-        record = Handover(self._board.process, sender, self._board.now_ms(), [change])
+        record = Handover(self._ctx.process, sender, self._ctx.now_ms(), [change])
         self._keeper.append_change(record)
 
     def release_all(self) -> None:
         """Move every shard away, since this agent is leaving."""
-        agents = [each for each in self._keeper.live_agents() if each != self._board.process]
+        agents = [each for each in self._keeper.live_agents() if each != self._ctx.process]
         for number in list(self._keeper.owned):
             target = self._keeper.best(number, agents)
             if target != NOBODY:
                 self._begin_move(number, target)
-            row, owned = self._board.fleet.shards[number], self._keeper.owned[number]
-            self._keeper.is_pending(number, owned, row, self._board.now())
+            row, owned = self._ctx.fleet.shards[number], self._keeper.owned[number]
+            self._keeper.is_pending(number, owned, row, self._ctx.now())
 
     def has_target(self) -> bool:
         """Whether any live agent could take this one's shards."""
-        return any(agent != self._board.process for agent in self._keeper.live_agents())
+        return any(agent != self._ctx.process for agent in self._keeper.live_agents())
 
     def records_target(self) -> str:
         """Who shall hold this agent's start records once it has left."""
-        return self._keeper.heir_for(0, self._board.process)
+        return self._keeper.heir_for(0, self._ctx.process)
 
 
 def _handover_parts(
--- a/src/gentianmux/traces.py
+++ b/src/gentianmux/traces.py
@@ -37,12 +37,12 @@
 
     Parameters
     ----------
-    board : Board
+    ctx : Board
         The blackboard.
     """
 
-    def __init__(self, board: Board) -> None:
-        self._board = board
+    def __init__(self, ctx: Board) -> None:
+        self._ctx = ctx
         self._gathering: dict[int, dict[str, list[_Parked]]] = {}
         self._questions: dict[int, _Question] = {}
         self._waiting: dict[str, list[_Parked]] = {}
@@ -55,33 +55,33 @@
             parked.append(_Parked(msg, waiter))
             return
         if len(self._waiting) >= MAX_PARKED:
-            self._board.coordinator.apply_ruling(
+            self._ctx.coordinator.apply_ruling(
                 Ruling(Verdict.REFUSE, ResultCode.TRACES_PENDING), msg, waiter
             )
             return
         line = [_Parked(msg, waiter)]
         self._waiting[msg.key] = line
-        shard = self._board.shard_of(msg.key)
+        shard = self._ctx.shard_of(msg.key)
         if shard not in self._gathering:
             self._gathering[shard] = {}
-            self._board.clock.later(GATHER_S, self._send, shard)
+            self._ctx.clock.later(GATHER_S, self._send, shard)
         self._gathering[shard][msg.key] = line
 
     def _send(self, shard: int) -> None:
-        board = self._board
+        ctx = self._ctx
         lines = self._gathering.pop(shard)
         agents = sorted(
-            join.process for join in board.fleet.processes.values() if join.role != "entry"
+            join.process for join in ctx.fleet.processes.values() if join.role != "entry"
         )
-        question = _Question(shard, board.fleet.shards[shard].epoch, agents)
+        question = _Question(shard, ctx.fleet.shards[shard].epoch, agents)
         question.parked = lines
         self._next += 1
         number = self._next
         self._questions[number] = question
         query = TraceQuery(number, shard, question.epoch, list(lines))
         for agent in agents:
-            board.peers.send(agent, query)
-        board.clock.later(WAIT_S, self._rule, number)
+            ctx.peers.send(agent, query)
+        ctx.clock.later(WAIT_S, self._rule, number)
 
     def on_reply(self, reply: TraceReply) -> None:
         """Take in one agent's answer."""
@@ -92,7 +92,7 @@
         question.forgotten_ms = max(question.forgotten_ms, reply.forgotten_ms)
         for trace in reply.traces:
             question.found[trace.key][reply.process] = trace
-        if question.missing <= {self._board.fleet.shards[question.shard].prior}:
+        if question.missing <= {self._ctx.fleet.shards[question.shard].prior}:
             self._rule(reply.query)
 
     def _rule(self, number: int) -> None:
@@ -104,12 +104,12 @@
             first, *others = line
             self._rule_one(question, key, first)
             for each in others:
-                self._board.coordinator.on_submit(each.msg, each.waiter)
+                self._ctx.coordinator.on_submit(each.msg, each.waiter)
 
     def _rule_one(self, question: _Question, key: str, parked: _Parked) -> None:
-        board = self._board
-        row = board.fleet.shards[question.shard]
-        refusal = board.keeper.refusal(question.shard)
+        ctx = self._ctx
+        row = ctx.fleet.shards[question.shard]
+        refusal = ctx.keeper.refusal(question.shard)
         if refusal is None and row.epoch != question.epoch:
             refusal = ResultCode.NOT_OWNER
         whole = self._is_whole(question, row, parked.msg)
@@ -118,15 +118,15 @@
             refusal = ResultCode.OUTCOME_UNKNOWN
         if refusal is not None:
             ruling = Ruling(Verdict.REFUSE, refusal)
-            board.coordinator.apply_ruling(ruling, parked.msg, parked.waiter)
+            ctx.coordinator.apply_ruling(ruling, parked.msg, parked.waiter)
         elif traces:
-            board.coordinator.resume(parked.msg, parked.waiter, traces, whole)
+            ctx.coordinator.resume(parked.msg, parked.waiter, traces, whole)
         else:
-            board.coordinator.apply_ruling(Ruling(Verdict.ADMIT), parked.msg, parked.waiter)
+            ctx.coordinator.apply_ruling(Ruling(Verdict.ADMIT), parked.msg, parked.waiter)
 
     def _is_whole(self, question: _Question, row: Shard, msg: Submit) -> bool:
         """Whether no trace means that nothing started: all could answer, and none forgot."""
-        fleet, skew_ms = self._board.fleet, self._board.cfg.skew_ms
+        fleet, skew_ms = self._ctx.fleet, self._ctx.cfg.skew_ms
         silent = set(question.missing)
         if fleet.was_never_alone(row, msg.service):
             silent.discard(row.prior)
--- a/src/gentianmux/witness.py
+++ b/src/gentianmux/witness.py
@@ -22,57 +22,57 @@
 
     Parameters
     ----------
-    board : Board
+    ctx : Board
         The blackboard; this puts itself there as ``witness``.
     """
 
-    def __init__(self, board: Board) -> None:
-        board.witness = self
-        self._board = board
+    def __init__(self, ctx: Board) -> None:
+        ctx.witness = self
+        self._ctx = ctx
         self._evicted: dict[str, float] = {}
 
     def on_change(self, update: MemberUpdate) -> None:
         """React to a change of what membership thinks of a process."""
         if update.state in (State.SUSPECT, State.DEAD) and self._is_chosen(update.process):
-            self._board.peers.knock(update.process)
+            self._ctx.peers.knock(update.process)
 
     def on_refused(self, process: str) -> None:
         """Append that a process has ended: its heirs at once, chosen witnesses a moment later."""
-        board = self._board
-        if process not in board.fleet.processes:
+        ctx = self._ctx
+        if process not in ctx.fleet.processes:
             return
-        if board.is_agent and any(row.owner == process for row, _ in board.keeper.heir_of.values()):
-            board.keeper.on_ended(process)
+        if ctx.is_agent and any(row.owner == process for row, _ in ctx.keeper.heir_of.values()):
+            ctx.keeper.on_ended(process)
             self._evict(process)
         elif self._is_chosen(process):
-            board.clock.later(LATER_S, self._evict, process)
+            ctx.clock.later(LATER_S, self._evict, process)
 
     def _evict(self, process: str) -> None:
-        now = self._board.now()
-        if process not in self._board.fleet.processes:
+        now = self._ctx.now()
+        if process not in self._ctx.fleet.processes:
             return
         if now - self._evicted.get(process, -REPEAT_S) < REPEAT_S:
             return
         self._evicted[process] = now
-        self._board.clock.soon(self._append, process)
+        self._ctx.clock.soon(self._append, process)
 
     def check_dead(self) -> None:
         """Look again at dead processes that the log still names."""
-        for process in list(self._board.fleet.processes):
-            if self._board.members.state_of(process) is State.DEAD and self._is_chosen(process):
-                self._board.peers.knock(process)
+        for process in list(self._ctx.fleet.processes):
+            if self._ctx.members.state_of(process) is State.DEAD and self._is_chosen(process):
+                self._ctx.peers.knock(process)
 
     def _is_chosen(self, process: str) -> bool:
-        live = [each.process for each in self._board.members.alive()]
+        live = [each.process for each in self._ctx.members.alive()]
         number = sum(process.encode())
         chosen = sorted(live, key=lambda each: rendezvous(number, each))[-WITNESSES:]
-        return self._board.process in chosen
+        return self._ctx.process in chosen
 
     def _append(self, process: str) -> None:
-        record = Evict(process, self._board.process, PROOF, self._board.now_ms())
-        self._board.metrics.count("log_appends")
+        record = Evict(process, self._ctx.process, PROOF, self._ctx.now_ms())
+        self._ctx.metrics.count("log_appends")
         try:
-            self._board.log.append(STREAM, to_json(record))
+            self._ctx.log.append(STREAM, to_json(record))
         except LogError:
-            self._board.metrics.count("log_errors")
-        self._board.read_soon.set()
+            self._ctx.metrics.count("log_errors")
+        self._ctx.read_soon.set()
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -33,7 +33,7 @@
     node = Standalone(cfg._replace(**changes))
     node.start()
     change = Change("c1", -1, read_rules(RULES.read_text()).items, [])
-    node.node.board.log.append("config", change.to_json())
+    node.node.ctx.log.append("config", change.to_json())
     client = ApiClient(f"http://{ports[1]}")
     with gevent.Timeout(20):
         while client.call("GET", "/readyz").status != 200:
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -17,14 +17,14 @@
 from gentianmux.leased.fleet_view import AgentView, FleetView, Wish
 from gentianmux.leased.job_state import JobState, Prospect
 from gentianmux.leased.model import How, JobSpec, QueueRules, StepSpec
-from gentianmux.leased.room import Room
+from gentianmux.leased.resources import Resources
 from gentianmux.messages import AgentLoad, EndpointState
 
 QUEUE = QueueRules("q", "h", "/q/", "s", 5000, 60, 0, 3, 1.6)
 
 
 def job(number: int, rng: Random) -> JobState:
-    steps = (StepSpec(rng.randint(1, 4), Room(rng.randrange(800, 1800), 64), 100),)
+    steps = (StepSpec(rng.randint(1, 4), Resources(rng.randrange(800, 1800), 64), 100),)
     queue = QUEUE._replace(priority=rng.randrange(3), service=rng.choice("st"))
     return JobState(JobSpec(f"{number:016x}", "", steps), queue, rng.random(), 9.0)
 
@@ -106,7 +106,7 @@
     candidates = Candidates(view, serving)
     for number in range(40):
         avoid = frozenset({"x1", "x4"}) if rng.random() < 0.2 else frozenset()
-        wish = Wish("s", Room(rng.randrange(400, 5000), 64), avoid=avoid, estimate_ms=100)
+        wish = Wish("s", Resources(rng.randrange(400, 5000), 64), avoid=avoid, estimate_ms=100)
         best = view.choose(wish, serving)
         taken = candidates.take(wish)
         assert (taken is None) == (best is None)
@@ -120,13 +120,13 @@
 def test_room_is_counted_once_reserved_and_again_once_reported() -> None:
     agent = AgentView("w0.1")
     agent.take_load(AgentLoad(1, 0, 8000, 100, 0, 100, 1, 1, 9000), 1.0)
-    agent.reserve(1, Room(3000, 10))
-    agent.reserve(2, Room(1000, 10))
-    assert agent.free == Room(4000, 80)
+    agent.reserve(1, Resources(3000, 10))
+    agent.reserve(2, Resources(1000, 10))
+    assert agent.free == Resources(4000, 80)
     agent.take_load(AgentLoad(2, 1, 5000, 90, 0, 100, 1, 1, 9000), 1.1)
-    assert agent.free == Room(4000, 80)
+    assert agent.free == Resources(4000, 80)
     agent.take_load(AgentLoad(3, 2, 4000, 80, 0, 100, 1, 1, 9000), 1.2)
-    assert agent.free == Room(4000, 80)
+    assert agent.free == Resources(4000, 80)
 
 
 def test_a_job_costs_little_more_when_many_wait_or_the_fleet_is_large() -> None:
--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -18,7 +18,7 @@
 from gentianmux.leased.caller_watch import wait_for_verdict
 from gentianmux.leased.job_state import JobState, Outcome
 from gentianmux.leased.model import JobSpec, QueueRules, StepSpec
-from gentianmux.leased.room import Room
+from gentianmux.leased.resources import Resources
 from gentianmux.leased.ticket import Ticket, Verdict
 from gentianmux.settings import Settings
 
@@ -43,7 +43,7 @@
         ticket.done.set()
 
     def ticket(self) -> Ticket:
-        spec = JobSpec("0" * 16, "", (StepSpec(1, Room(1, 1), 1),))
+        spec = JobSpec("0" * 16, "", (StepSpec(1, Resources(1, 1), 1),))
         return Ticket(JobState(spec, QUEUE, 0.0, 9.0))
 
     def refuse(self, ticket: Ticket) -> None:
