--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -42,7 +42,7 @@
     StepSpec,
 )
 from gentianmux.leased.payloads import pack
-from gentianmux.leased.room import Room
+from gentianmux.leased.resources import Resources
 from gentianmux.leased.run_table import RunTable
 from gentianmux.messages import Assign, LeasedTask
 from gentianmux.platform.endpoint import PlatformEndpoint, read_farewell, read_report
@@ -130,7 +130,7 @@
 # What a heartbeat is
 
 FIRST = EndpointReport(
-    "i-1", "10.0.0.1:80", "s", "fd", Room(8, 8), (), False, 0.0, sequence=9, born=100
+    "i-1", "10.0.0.1:80", "s", "fd", Resources(8, 8), (), False, 0.0, sequence=9, born=100
 )
 
 
@@ -186,12 +186,12 @@
     assert known is not None
     world.restart_endpoint("w0", down_s=0.1)
     world.run(0.2)
-    world.machines["w0"].endpoint.capacity = Room(4000, 999, 0)
+    world.machines["w0"].endpoint.capacity = Resources(4000, 999, 0)
     later = world.report_of(world.machines["w0"])._replace(service="other", sequence=1)
-    agent._board.feed.current = None
+    agent._ctx.feed.current = None
     agent.on_report(later)
     assert agent.report == later
-    assert agent.table.room.capacity == Room(4000, 999, 0)
+    assert agent.table.room.capacity == Resources(4000, 999, 0)
 
 
 def test_nothing_begins_at_a_life_that_has_answered_but_not_reported() -> None:
@@ -261,7 +261,7 @@
     else:
         world.replace_endpoint("w0")
     world.machines["w0"].sequence = 1
-    is_present = agent._board.driver.is_present
+    is_present = agent._ctx.driver.is_present
 
     def look_meanwhile(report: EndpointReport) -> bool | None:
         for _ in range(3):
@@ -269,7 +269,7 @@
         return is_present(report)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(agent._board.driver, "is_present", look_meanwhile)
+        patch.setattr(agent._ctx.driver, "is_present", look_meanwhile)
         agent.on_report(world.report_of(world.machines["w0"]))
     assert agent.report is not None
     assert agent.report.born == world.machines["w0"].endpoint.born
@@ -301,7 +301,7 @@
     world.restart_endpoint("w0", down_s=0.05)
     world.run(0.2)
     agent = agent_of(world)
-    agent._board.driver._connected_to = machine.endpoint
+    agent._ctx.driver._connected_to = machine.endpoint
     job = world.submit("e0", tasks=8, run_s=0.5)
     while not machine.endpoint.active:
         world.run(0.001)
@@ -326,7 +326,7 @@
     agent = agent_of(world)
     endpoint = world.machines["w0"].endpoint
     task = LeasedTask("00000000000000aa.0.0.0", 1, 0, 1600, 64, 0, 200)
-    world.works[task.name] = (StepSpec(1, Room(1600, 64), 200), Work(0.2))
+    world.works[task.name] = (StepSpec(1, Resources(1600, 64), 200), Work(0.2))
     echo = world.entries["e0"].view.of("w0.1").newest_load  # type: ignore[union-attr]
     agent.on_message(Assign(echo, 1, [task], [], [pack("x")]), "e0.1")
     assert (task.name, 1) in agent.table.runs
@@ -396,9 +396,9 @@
 
 def table_with(*runs: str) -> RunTable:
     table = RunTable()
-    table.reset(Room(8000, 800))
+    table.reset(Resources(8000, 800))
     for task in runs:
-        assert table.begin((task, 1), "e1", Room(1600, 64), 100, now=1.0)
+        assert table.begin((task, 1), "e1", Resources(1600, 64), 100, now=1.0)
     return table
 
 
@@ -420,7 +420,7 @@
     table.started(("confirmed", 1), 1.1)
     table.unanswered(("doubtful", 1), 1.1)
     assert [(done.run.key[0], done.how) for done in table.turn_over()] == [("seen", How.LOST)]
-    assert table.room.free == Room(8000 - 2 * 1600, 800 - 2 * 64)
+    assert table.room.free == Resources(8000 - 2 * 1600, 800 - 2 * 64)
     assert not table.is_clean
     active = (ActiveRun("confirmed", 1, 5.0),)
     assert table.looked_at(HoldReply(1.3, active, ()), 1.3) == []
@@ -569,7 +569,7 @@
     agent = view.agents["a.1"]
     assert agent.state is not None
     agent.state = agent.state._replace(born=100)
-    wish = Wish("s", Room(1600, 64), avoid=frozenset({agent.state.life}))
+    wish = Wish("s", Resources(1600, 64), avoid=frozenset({agent.state.life}))
     assert view.choose(wish, view.willing("s", 1.0)) is None
     agent.state = agent.state._replace(born=200)
     assert view.choose(wish, view.willing("s", 1.0)) is agent
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -75,7 +75,7 @@
     starts = len(world.starts)
     world.resume(owner)
     world.run(0.4)
-    refusals = {node.board.keeper.refusal(shard) for shard in range(SETTINGS.shards)}
+    refusals = {node.ctx.keeper.refusal(shard) for shard in range(SETTINGS.shards)}
     assert refusals <= {ResultCode.LEASE_LAPSED, ResultCode.NOT_OWNER}
     assert len(world.starts) == starts
     settle(world)
@@ -290,11 +290,11 @@
 
     owner, old = world.owner("a"), heir(world, "a")
     leaving = next(node for node in world.nodes.values() if node.name not in (owner, old))
-    leaving.board.draining = True
-    leaving.board.executor.on_batch = lambda batch, sender: None  # type: ignore[method-assign]
+    leaving.ctx.draining = True
+    leaving.ctx.executor.on_batch = lambda batch, sender: None  # type: ignore[method-assign]
     world.submit("a", count=12)
     world.run(0.05)
-    world.log.append("fleet", to_json(Leave(leaving.process, leaving.board.now_ms(), "")))
+    world.log.append("fleet", to_json(Leave(leaving.process, leaving.ctx.now_ms(), "")))
     world.kill(leaving.name)
     settle(world)
     assert world.names("a") == ["ok"]
@@ -311,7 +311,7 @@
     assert node is not None
     world.submit("a", count=1)
     world.run(0.2)
-    reserved = [name for job in node.board.coordinator.jobs.values() for name in job.reserved]
+    reserved = [name for job in node.ctx.coordinator.jobs.values() for name in job.reserved]
     for process in set(reserved):
         world.kill(process.partition(".")[0])
         world.run(0.1)
@@ -329,9 +329,9 @@
     world.run_s = 9.0
     world.submit("a", count=2)
     world.run(0.1)
-    owner.board.draining = True
+    owner.ctx.draining = True
     epoch = world.row("a").epoch
-    owner.board.keeper.moves.release_all()
+    owner.ctx.keeper.moves.release_all()
     for _ in range(80):
         world.run(0.1)
     assert world.row("a").epoch == epoch
@@ -339,4 +339,4 @@
     assert world.owner("a") != owner.name
     moved = world.node(world.owner("a"))
     assert moved is not None
-    assert all(owned.ledger.taken_over_ms == NO_TIME for owned in moved.board.keeper.owned.values())
+    assert all(owned.ledger.taken_over_ms == NO_TIME for owned in moved.ctx.keeper.owned.values())
--- a/tests/test_foreign_records.py
+++ b/tests/test_foreign_records.py
@@ -15,7 +15,7 @@
 from gentianmux.leased.directory import TOPIC, Announcement, Directory, decode_announcement
 from gentianmux.leased.job_state import Outcome
 from gentianmux.leased.model import EndpointReport
-from gentianmux.leased.room import Room
+from gentianmux.leased.resources import Resources
 from gentianmux.memory_log import Changes, Newest
 from gentianmux.metrics import Metrics
 from gentianmux.platform.config import CONFIG_SOURCE, decode_config
@@ -23,7 +23,9 @@
 from gentianmux.settings import Settings
 from gentianmux.typed_json import read_object
 
-REPORT = EndpointReport("i-1", "10.0.0.1:80", "svc", "fd", Room(1, 2, 0), ("a",), False, 0.0, 7)
+REPORT = EndpointReport(
+    "i-1", "10.0.0.1:80", "svc", "fd", Resources(1, 2, 0), ("a",), False, 0.0, 7
+)
 DEEP = b"[" * 200_000
 
 scalars = st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=5)
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -15,11 +15,11 @@
 from gentianmux.leased.grants import GRANT_S, LATE_RESERVE, PASS_OVER_S, Grants, split
 from gentianmux.leased.job_state import JobState, Prospect
 from gentianmux.leased.model import JobSpec, QueueRules, StepSpec
-from gentianmux.leased.room import NO_ROOM, Room
+from gentianmux.leased.resources import NO_ROOM, Resources
 from gentianmux.messages import Claim
 
 ENTRIES = ["e1", "e2", "e3"]
-FREE = Room(4000, 1000, 0)
+FREE = Resources(4000, 1000, 0)
 
 
 def claim(
@@ -33,7 +33,7 @@
     return Claim(cpu, 64, 0, least_cpu or cpu, late, begun, priority, begin_in_ms)
 
 
-def offered(grants: Grants, free: Room = FREE, now: float = 0.0) -> dict[str, int]:
+def offered(grants: Grants, free: Resources = FREE, now: float = 0.0) -> dict[str, int]:
     return {entry: room.cpu for entry, room in grants.offers(ENTRIES, free, now).items()}
 
 
@@ -78,17 +78,17 @@
 
 
 def test_tasks_of_late_jobs_leave_a_part_of_each_endpoint_free() -> None:
-    capacity, task = Room(16000, 65536), claim(1600, late=True)
+    capacity, task = Resources(16000, 65536), claim(1600, late=True)
     grants = Grants()
-    grants.late_reserve = Room(int(capacity.cpu * LATE_RESERVE))
+    grants.late_reserve = Resources(int(capacity.cpu * LATE_RESERVE))
     grants.claim("e1", [task], 0.0)
-    assert grants.deal(Room(3100, 65536), 0.0) == set()
-    assert grants.offers(["e1"], Room(3100, 65536), 0.0)["e1"].cpu < 1600
-    assert grants.deal(Room(3200, 65536), 0.0) == {"e1"}
+    assert grants.deal(Resources(3100, 65536), 0.0) == set()
+    assert grants.offers(["e1"], Resources(3100, 65536), 0.0)["e1"].cpu < 1600
+    assert grants.deal(Resources(3200, 65536), 0.0) == {"e1"}
     timely = Grants()
     timely.late_reserve = grants.late_reserve
     timely.claim("e1", [task._replace(late=False)], 0.0)
-    assert timely.deal(Room(3100, 65536), 0.0) == {"e1"}
+    assert timely.deal(Resources(3100, 65536), 0.0) == {"e1"}
 
 
 def test_accelerators_are_granted_only_where_there_are_some() -> None:
@@ -98,7 +98,7 @@
     assert grants.deal(FREE._replace(gpu=2), 0.0) == {"e1"}
     only_gpu = Grants()
     only_gpu.claim("e1", [Claim(0, 0, 2, 0, False, False, 0, 50)], 0.0)
-    assert only_gpu.deal(Room(0, 0, 1), 0.0) == {"e1"}
+    assert only_gpu.deal(Resources(0, 0, 1), 0.0) == {"e1"}
 
 
 # What becomes of a grant
@@ -146,7 +146,7 @@
 def test_shares_are_never_more_than_the_room(
     cpu: int, mem_mb: int, gpu: int, parts: int, task_cpu: int
 ) -> None:
-    shares = split(Room(cpu, mem_mb, gpu), parts, task_cpu)
+    shares = split(Resources(cpu, mem_mb, gpu), parts, task_cpu)
     assert len(shares) == parts
     assert sum(share.cpu for share in shares) == cpu or cpu == 0
     assert sum(share.mem_mb for share in shares) <= mem_mb or cpu == 0
@@ -166,7 +166,7 @@
 
 
 def test_no_order_of_events_grants_room_twice_or_leaves_a_claim_without() -> None:
-    free = Room(5000, 1000)
+    free = Resources(5000, 1000)
     for order in product(EVENTS, repeat=5):
         grants, now = Grants(), 0.0
         grants.task_cpu = 2500
@@ -190,7 +190,7 @@
 
 
 def waiting_job(number: int, cpu: int = 2500, tasks: int = 2, priority: int = 0) -> JobState:
-    spec = JobSpec(f"{number:016x}", "", (StepSpec(tasks, Room(cpu, 64), 100),))
+    spec = JobSpec(f"{number:016x}", "", (StepSpec(tasks, Resources(cpu, 64), 100),))
     return JobState(spec, QUEUE._replace(priority=priority), 1.0, 9.0)
 
 
@@ -243,7 +243,7 @@
     counted: Counter[str] = Counter()
     for machine in world.machines.values():
         assert machine.agent is not None
-        counted.update(machine.agent._board.metrics.snapshot())  # type: ignore[arg-type]
+        counted.update(machine.agent._ctx.metrics.snapshot())  # type: ignore[arg-type]
     assert counted["runs_refused.no_room"] < 0.05 * counted["runs_started"]
     assert world.breaches == []
     assert world.false_refusals() == []
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -25,7 +25,7 @@
 from gentianmux.leased.job_state import JobState, Phase, Prospect
 from gentianmux.leased.model import How, JobSpec, QueueRules, StepSpec
 from gentianmux.leased.progress import STALL_S, Progress
-from gentianmux.leased.room import Room, RoomAccount
+from gentianmux.leased.resources import Resources, RoomAccount
 from gentianmux.leased.settings import LeasedSettings, lease_s
 from gentianmux.messages import AgentLoad, EndpointState
 
@@ -33,7 +33,7 @@
 
 
 def job(number: int = 1, tasks: int = 2, estimate_ms: int = 400, arrived: float = 0.0) -> JobState:
-    spec = JobSpec(f"{number:016x}", "", (StepSpec(tasks, Room(1600, 64), estimate_ms),))
+    spec = JobSpec(f"{number:016x}", "", (StepSpec(tasks, Resources(1600, 64), estimate_ms),))
     return JobState(spec, QUEUE, arrived, arrived + 5.0)
 
 
@@ -44,16 +44,16 @@
 def test_room_taken_never_exceeds_the_capacity_and_all_of_it_returns(
     steps: list[tuple[int, int, bool]],
 ) -> None:
-    account = RoomAccount(Room(10, 10))
+    account = RoomAccount(Resources(10, 10))
     for run, size, takes in steps:
         if takes:
-            account.take((str(run), 1), Room(size, 1))
+            account.take((str(run), 1), Resources(size, 1))
         else:
             account.give_back((str(run), 1))
         assert account.capacity.fits(account.used)
     for run in range(10):
         account.give_back((str(run), 1))
-    assert account.used == Room()
+    assert account.used == Resources()
 
 
 # The chain of leases
@@ -92,12 +92,12 @@
     for number in range(FAILED_IN_A_ROW):
         health.ended(str(number), True, None, 0.0)
     assert health.is_ejected(0.9)
-    assert health.offered(Room(9), 0, 1.1) == Room(9)
-    assert health.offered(Room(9), 1, 1.1) == Room()
+    assert health.offered(Resources(9), 0, 1.1) == Resources(9)
+    assert health.offered(Resources(9), 1, 1.1) == Resources()
     health.ended("x", True, None, 1.2)
     assert health.is_ejected(2.5)
     health.ended("y", False, 1.0, 3.0)
-    assert health.offered(Room(9), 5, 3.0) == Room(9)
+    assert health.offered(Resources(9), 5, 3.0) == Resources(9)
 
 
 def test_a_run_stalls_only_when_its_progress_stands_still() -> None:
@@ -124,7 +124,7 @@
 
 def test_the_fastest_agent_with_room_is_chosen_and_then_the_emptiest() -> None:
     view = fleet(1.0, {"a": 2000, "b": 9000, "c": 16000}, {"c": 300})
-    wish = Wish("s", Room(1600, 64))
+    wish = Wish("s", Resources(1600, 64))
     chosen = view.choose(wish, view.willing("s", 1.0))
     assert chosen is not None
     assert chosen.process == "b.1"
@@ -137,10 +137,10 @@
 def test_room_assigned_since_the_last_report_is_not_given_away_again() -> None:
     view = fleet(1.0, {"a": 3000})
     agent = view.of("a.1")
-    agent.reserve(1, Room(1600, 64))
-    assert view.choose(Wish("s", Room(1600, 64)), view.willing("s", 1.0)) is None
+    agent.reserve(1, Resources(1600, 64))
+    assert view.choose(Wish("s", Resources(1600, 64)), view.willing("s", 1.0)) is None
     agent.take_load(AgentLoad(2, 1, 3000, 999, 0, 100, 1, 1, 9000), 1.1)
-    assert view.choose(Wish("s", Room(1600, 64)), view.willing("s", 1.1)) is agent
+    assert view.choose(Wish("s", Resources(1600, 64)), view.willing("s", 1.1)) is agent
 
 
 def test_a_silent_agent_gets_nothing_and_is_over_only_after_every_lease() -> None:
@@ -155,8 +155,8 @@
 
 
 def test_a_step_waits_for_the_steps_before_it() -> None:
-    first = StepSpec(2, Room(100, 1), 100)
-    second = StepSpec(1, Room(100, 1), 300, after=(0,))
+    first = StepSpec(2, Resources(100, 1), 100)
+    second = StepSpec(1, Resources(100, 1), 300, after=(0,))
     state = JobState(JobSpec("a" * 16, "", (first, second)), QUEUE, 0.0, 5.0)
     assert state.chain_s == pytest.approx(0.4)
     names = [task.name for task in state.ready()]
@@ -327,7 +327,7 @@
     agent = view.of("w1.5")
     agent.state = EndpointState("x", "s", "fd", 16000, 1000, 0, [], True)
     agent.take_load(AgentLoad(1, 0, 16000, 1000, 0, 100, 1, 1, 400), 10.0)
-    wish = Wish("s", Room(1600, 64), estimate_ms=400)
+    wish = Wish("s", Resources(1600, 64), estimate_ms=400)
     assert view.choose(wish, view.willing("s", 10.0)) is agent
     assert view.choose(wish._replace(estimate_ms=401), view.willing("s", 10.0)) is None
 
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -9,7 +9,7 @@
 from gentianmux.leased.job_state import Outcome
 from gentianmux.leased.model import EndedRow, EndpointReport, HoldReply, How
 from gentianmux.leased.payloads import pack
-from gentianmux.leased.room import Room
+from gentianmux.leased.resources import Resources
 from gentianmux.messages import Assign, EndedRuns, LeasedTask, Message, RunRef, Withdraw
 
 
@@ -208,7 +208,7 @@
     world = ready_world(agents=1)
     world.submit("e0", tasks=9, run_s=2.0)
     world.run(0.2)
-    world.replace_endpoint("w0", Room(4000, 1024, 0))
+    world.replace_endpoint("w0", Resources(4000, 1024, 0))
     jobs = [world.submit("e0", tasks=4, run_s=0.2) for _ in range(3)]
     world.run(5.0)
     assert all(outcome(job) is not None for job in jobs)
@@ -284,7 +284,7 @@
     elif what == 10:
         endpoint.speed = rng.choice([0.0, 0.2, 1.0, 1.0])
     elif what == 11:
-        sizes = [ENDPOINT_ROOM, Room(8000, 2048, 0)]
+        sizes = [ENDPOINT_ROOM, Resources(8000, 2048, 0)]
         late = world.report_of(machine)
         world.replace_endpoint(machine.name, rng.choice(sizes))
         world.at(rng.uniform(0.1, 4.0), "", _report_late, world, machine.name, late)
@@ -437,7 +437,7 @@
         return HoldReply(world.time, (), ends)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(agent._board.driver, "hold", hold)
+        patch.setattr(agent._ctx.driver, "hold", hold)
         agent.look()
     assert agent.table.acknowledged == 0
     job = world.submit("e0", tasks=4, run_s=0.2)
@@ -577,7 +577,7 @@
 
 def test_a_configuration_reaches_an_entry_that_the_store_turns_away() -> None:
     world = ready_world(agents=3, entries=3)
-    feeds = [node.entry._board.feed for node in world.entries.values() if node.entry]
+    feeds = [node.entry._ctx.feed for node in world.entries.values() if node.entry]
     assert [feed.version for feed in feeds] == [1, 1, 1]
     world.config = world.config._replace(version=7, raw=b"7")
     feeds[1].offered(b"7", "store")
@@ -590,9 +590,9 @@
     world.start_entry("e2")
     restarted = world.entries["e2"].entry
     assert restarted is not None
-    restarted._board.feed.current = None
+    restarted._ctx.feed.current = None
     world.run(0.5)
-    assert restarted._board.feed.version == 9
+    assert restarted._ctx.feed.version == 9
 
 
 def test_a_leaving_entry_takes_jobs_until_none_has_come_for_a_while_and_then_none() -> None:
@@ -631,7 +631,7 @@
     world.config = world.config._replace(version=7, raw=raw)
     for node in world.entries.values():
         assert node.entry is not None
-        node.entry._board.feed.offered(raw, "store")
+        node.entry._ctx.feed.offered(raw, "store")
     jobs = []
     for _ in range(30):
         jobs += [world.submit(name, tasks=4, run_s=0.3) for name in world.entries]
@@ -639,7 +639,7 @@
     world.run(1.0)
     assert [outcome(job) for job in jobs] == [Outcome.COMPLETED] * len(jobs)
     assert world.starts == 4 * len(jobs)
-    assert {m.agent._board.feed.version for m in world.machines.values() if m.agent} == {7}
+    assert {m.agent._ctx.feed.version for m in world.machines.values() if m.agent} == {7}
     assert_kept(world)
 
 
@@ -649,7 +649,7 @@
         world.bytes_per_s[world.process_of(name)] = 1e9
     raw = Random(4).randbytes(100_000)
     world.config = world.config._replace(version=7, raw=raw)
-    feeds = [node.entry._board.feed for node in world.entries.values() if node.entry]
+    feeds = [node.entry._ctx.feed for node in world.entries.values() if node.entry]
     for feed in feeds:
         feed.offered(raw, "store")
     world.run(4.0)
@@ -681,7 +681,7 @@
 
 def _refused(world: World) -> int:
     agents = [machine.agent for machine in world.machines.values() if machine.agent]
-    return sum(agent._board.metrics.total("runs_refused") for agent in agents)
+    return sum(agent._ctx.metrics.total("runs_refused") for agent in agents)
 
 
 def test_ended_runs_pass_a_connection_once_and_are_acknowledged_with_an_echo() -> None:
@@ -702,7 +702,7 @@
         world.run(0.04)
     world.run(0.3)
     assert sorted(rows) == list(range(1, 17))
-    assert not agent._board.reports.has_unseen
+    assert not agent._ctx.reports.has_unseen
 
 
 def test_ended_runs_that_were_lost_with_a_connection_are_sent_by_the_next() -> None:
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -23,7 +23,7 @@
 
 @pytest.fixture()
 def client(node: Standalone) -> ApiClient:
-    return ApiClient(f"http://{node.node.board.cfg.http_address}", "steppe-demo-key")
+    return ApiClient(f"http://{node.node.ctx.cfg.http_address}", "steppe-demo-key")
 
 
 def submit(client: ApiClient, content: Any, wait: int = 20) -> ApiReply:
@@ -47,9 +47,9 @@
     client: ApiClient, node: Standalone
 ) -> None:
     first = submit(client, job("again"))
-    starts = node.node.board.metrics.total("starts")
+    starts = node.node.ctx.metrics.total("starts")
     assert submit(client, job("again")).content == first.content
-    assert node.node.board.metrics.total("starts") == starts
+    assert node.node.ctx.metrics.total("starts") == starts
     assert submit(client, job("again", 4)).content["code"] == ResultCode.ID_REUSED
 
 
@@ -122,14 +122,14 @@
 
 
 def test_an_unknown_member_is_refused(node: Standalone) -> None:
-    stranger = ApiClient(f"http://{node.node.board.cfg.http_address}", "no-such-key")
+    stranger = ApiClient(f"http://{node.node.ctx.cfg.http_address}", "no-such-key")
     assert submit(stranger, job("x")).content["code"] == ResultCode.UNAUTHENTICATED
 
 
 def test_a_caller_that_hangs_up_or_dawdles_harms_nobody(
     client: ApiClient, node: Standalone
 ) -> None:
-    ip, _, port = node.node.board.cfg.http_address.partition(":")
+    ip, _, port = node.node.ctx.cfg.http_address.partition(":")
     head = b"POST /v1/jobs HTTP/1.1\r\nAuthorization: Bearer steppe-demo-key\r\n"
     with socket.create_connection((ip, int(port))) as sock:
         sock.sendall(head + b"Content-Length: 100\r\n\r\n{")
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -14,7 +14,7 @@
 from gentianmux.codes import ResultCode
 from gentianmux.errors import GentianmuxError, LogError
 from gentianmux.leased.model import EndpointGone, How, NoAnswer, StartVerdict
-from gentianmux.leased.room import Room
+from gentianmux.leased.resources import Resources
 from gentianmux.platform.callers import read_job
 from gentianmux.platform.config import decode_config
 from gentianmux.platform.endpoint import PlatformEndpoint, _read_look, read_report
@@ -128,7 +128,7 @@
     report = read_report("i-1", {**REPORT, "state": "draining", "drain_remaining_ms": 1500}, "")
     assert report.draining
     assert report.drain_remaining_s == 1.5
-    assert report.capacity == Room(16000, 100, 0)
+    assert report.capacity == Resources(16000, 100, 0)
 
 
 # The store
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -109,7 +109,7 @@
 def _fail_everything(world: World, name: str) -> None:
     node = world.node(name)
     assert node is not None
-    executor, ended = node.board.executor, node.board.executor.on_ended
+    executor, ended = node.ctx.executor, node.ctx.executor.on_ended
     failed = Run(ResultCode.TASK_FAILED, "")
     executor.on_ended = lambda job, record, run: ended(job, record, failed)  # type: ignore
 
@@ -146,7 +146,7 @@
     most = 0
     for _ in range(200):
         world.run(0.05)
-        running = [len(node.board.executor.running) for node in world.nodes.values()]
+        running = [len(node.ctx.executor.running) for node in world.nodes.values()]
         most = max(most, sum(running))
     # One agent owns both shards, and an owner starts no task of its own shards.
     assert 6 <= most <= 8
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -27,9 +27,9 @@
 
 def test_garbage_on_the_peer_port_closes_that_connection_alone() -> None:
     node = start_node()
-    board = node.node.board
-    client = ApiClient(f"http://{board.cfg.http_address}", "steppe-demo-key")
-    ip, _, port = board.cfg.peer_address.partition(":")
+    ctx = node.node.ctx
+    client = ApiClient(f"http://{ctx.cfg.http_address}", "steppe-demo-key")
+    ip, _, port = ctx.cfg.peer_address.partition(":")
     for garbage in (b"\xff" * 64, b"\0\0\0\x10" + b"x" * 16, b"GET / HTTP/1.1\r\n\r\n"):
         with gevent.Timeout(10), gevent.socket.create_connection((ip, int(port))) as sock:
             sock.sendall(garbage)
@@ -37,7 +37,7 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.sendto(b"\xff" * 100, (ip, int(port)))
     with gevent.Timeout(10):
-        while board.metrics.total("bad_frames") < 4:
+        while ctx.metrics.total("bad_frames") < 4:
             gevent.sleep(0.01)
     assert submit(client, job("fine")).content["complete"]
     node.stop()
@@ -45,19 +45,19 @@
 
 def test_a_stop_cuts_off_nothing_in_flight() -> None:
     node = start_node()
-    client = ApiClient(f"http://{node.node.board.cfg.http_address}", "steppe-demo-key")
+    client = ApiClient(f"http://{node.node.ctx.cfg.http_address}", "steppe-demo-key")
     content = job("slow", 8)
     for task in content["tasks"]:
         task["payload"] = '{"ms": 600}'
     running = gevent.spawn(submit, client, content)
     with gevent.Timeout(10):
-        while len(node.node.board.executor.running) < 8:
+        while len(node.node.ctx.executor.running) < 8:
             gevent.sleep(0.01)
     draining = gevent.spawn(node.drain)
     with gevent.Timeout(10):
-        while not node.node.board.draining:
+        while not node.node.ctx.draining:
             gevent.sleep(0.01)
-    late = ApiClient(f"http://{node.node.board.cfg.http_address}", "steppe-demo-key")
+    late = ApiClient(f"http://{node.node.ctx.cfg.http_address}", "steppe-demo-key")
     assert late.call("GET", "/readyz").status == 503
     assert submit(late, job("late")).content["name"] == "draining"
     assert running.get().content["complete"]
@@ -148,12 +148,12 @@
 
 def test_peers_and_callers_have_no_nagle_delay() -> None:
     node = start_node()
-    client = ApiClient(f"http://{node.node.board.cfg.http_address}")
+    client = ApiClient(f"http://{node.node.ctx.cfg.http_address}")
     client.call("GET", "/healthz")
     ours = [
         each
         for each in gevent_sockets()
-        if each.getsockname()[1] == int(node.node.board.cfg.http_address.partition(":")[2])
+        if each.getsockname()[1] == int(node.node.ctx.cfg.http_address.partition(":")[2])
     ]
     assert ours
     assert all(each.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) for each in ours)
