--- a/bench/leased_endpoint.py
+++ b/bench/leased_endpoint.py
@@ -11,11 +11,11 @@
     EndpointReport,
     EndpointStartedAgain,
     HoldReply,
-    How,
     NoAnswer,
+    RunOutcome,
     StartVerdict,
 )
-from gentianmux.leased.resources import NO_ROOM, Resources
+from gentianmux.leased.resources import NO_RESOURCES, Resources
 
 if TYPE_CHECKING:
     from bench.leased_world import Machine, World
@@ -106,7 +106,7 @@
 
     def used(self) -> Resources:
         """What its runs take, those being stopped included."""
-        total = NO_ROOM
+        total = NO_RESOURCES
         for run in self.active.values():
             total = total.plus(run.need)
         return total
@@ -119,22 +119,22 @@
             run.done_s += max(0.0, end - run.moved_at) * self.speed
             run.moved_at = max(run.moved_at, end)
             if run.stop_at is not None and now >= run.stop_at:
-                self._end(key, How.STOPPED)
+                self._end(key, RunOutcome.STOPPED)
             elif now > self.lease_until:
-                self._end(key, How.LOST)
+                self._end(key, RunOutcome.LOST)
             elif self.failing:
-                self._end(key, How.FAILED)
+                self._end(key, RunOutcome.FAILED)
             elif run.done_s >= run.work.run_s:
                 failed = self.world.failed[key[0]] < run.work.failures
                 self.world.failed[key[0]] += failed
-                self._end(key, How.FAILED if failed else How.DONE)
+                self._end(key, RunOutcome.FAILED if failed else RunOutcome.DONE)
 
-    def _end(self, key: tuple[str, int], how: How) -> None:
+    def _end(self, key: tuple[str, int], how: RunOutcome) -> None:
         del self.active[key]
         self._number += 1
         self.stopped_runs[key[0]] = max(self.stopped_runs[key[0]], key[1])
         self.ends.append(EndedRow(self._number, *key, how))
-        if how is not How.DONE:
+        if how is not RunOutcome.DONE:
             self.world.wasted_runs += 1
 
     def begin(
--- a/bench/leased_links.py
+++ b/bench/leased_links.py
@@ -30,11 +30,11 @@
     def now_ms(self) -> int:
         return int(self._world.time * 1000)
 
-    def later(self, delay_s: float, call: Callable[..., Any], *args: Any) -> None:
+    def call_later(self, delay_s: float, call: Callable[..., Any], *args: Any) -> None:
         self._world.at(delay_s, self._process, call, *args)
 
     def soon(self, call: Callable[..., Any], *args: Any) -> None:
-        self.later(CALL_S, call, *args)
+        self.call_later(CALL_S, call, *args)
 
 
 class FakeLinks:
--- a/bench/leased_speed.py
+++ b/bench/leased_speed.py
@@ -25,11 +25,11 @@
 from gentianmux.leased.entry import Entry
 from gentianmux.leased.fleet_view import FleetView
 from gentianmux.leased.model import (
-    How,
     JobConfig,
     JobSpec,
     QueueRules,
     RequestLimits,
+    RunOutcome,
     StepSpec,
 )
 from gentianmux.leased.resources import Resources
@@ -70,7 +70,7 @@
     def now(self) -> float:
         return self.time
 
-    def later(self, delay_s: float, call: Any, *args: Any) -> None:
+    def call_later(self, delay_s: float, call: Any, *args: Any) -> None:
         self.due.append((call, args))
 
     def soon(self, call: Any, *args: Any) -> None:
@@ -152,7 +152,7 @@
         rows: list[EndedRun] = []
         while runs and len(rows) < PER_REPORT:
             self.ends += 1
-            rows.append(EndedRun(self.ends, *runs.popleft(), int(How.DONE), 120))
+            rows.append(EndedRun(self.ends, *runs.popleft(), int(RunOutcome.DONE), 120))
         if rows:
             self.take(name, EndedRuns(rows))
             self.report(name, len(rows) * NEED.cpu)
--- a/bench/world.py
+++ b/bench/world.py
@@ -9,7 +9,7 @@
 from typing import Any, ClassVar
 
 from bench.check import Given, Start, Violation, violations
-from gentianmux.board import Board
+from gentianmux.board import NodeContext
 from gentianmux.clock import Clock
 from gentianmux.codes import ResultCode
 from gentianmux.coordinator import Coordinator
@@ -56,11 +56,11 @@
     def now_ms(self) -> int:
         return EPOCH_MS + int(self._world.time * 1000) + self.skew_ms
 
-    def later(self, delay_s: float, call: Callable[..., Any], *args: Any) -> None:
+    def call_later(self, delay_s: float, call: Callable[..., Any], *args: Any) -> None:
         self._world.at(delay_s, self._name, call, *args)
 
     def soon(self, call: Callable[..., Any], *args: Any) -> None:
-        self.later(0.0, call, *args)
+        self.call_later(0.0, call, *args)
 
 
 class FakeLog:
@@ -156,7 +156,7 @@
         me = announce(cfg, incarnation)
         self.name = name
         self.process = me.process
-        self.ctx = Board(cfg, me, FakeLog(world, name), FakeClock(world, me.process))
+        self.ctx = NodeContext(cfg, me, FakeLog(world, name), FakeClock(world, me.process))
         self.ctx.members = FakeMembers(world, me.process)  # type: ignore[assignment]
         self.ctx.peers = FakePeers(world, me.process)  # type: ignore[assignment]
         ShardKeeper(self.ctx)
--- a/src/gentianmux/board.py
+++ b/src/gentianmux/board.py
@@ -27,7 +27,7 @@
     from .witness import Witness
 
 
-class Board:
+class NodeContext:
     """The one object that is passed whole to every controller.
 
     Parameters
--- a/src/gentianmux/caller_api.py
+++ b/src/gentianmux/caller_api.py
@@ -8,7 +8,7 @@
 
 from loguru import logger
 
-from .board import Board
+from .board import NodeContext
 from .codes import ResultCode
 from .coordinator import REQUEST_MARK
 from .dispatcher import Reply
@@ -56,11 +56,11 @@
 
     Parameters
     ----------
-    ctx : Board
+    ctx : NodeContext
         The blackboard.
     """
 
-    def __init__(self, ctx: Board) -> None:
+    def __init__(self, ctx: NodeContext) -> None:
         self._ctx = ctx
         self._limits = MemberLimits(ctx.cfg, ctx.config, ctx.rng)
         self._routes: dict[str, dict[str, Callable[[dict[str, Any], str], Response]]] = {
--- a/src/gentianmux/clock.py
+++ b/src/gentianmux/clock.py
@@ -32,7 +32,7 @@
         """Unix time in ms, for ids and deadlines that cross processes."""
         return int(time() * 1000)
 
-    def later(self, delay_s: float, call: Callable[..., Any], *args: Any) -> None:
+    def call_later(self, delay_s: float, call: Callable[..., Any], *args: Any) -> None:
         """Call once after a delay in seconds."""
         gevent.spawn_later(delay_s, call, *args)
 
--- a/src/gentianmux/coordinator.py
+++ b/src/gentianmux/coordinator.py
@@ -3,7 +3,7 @@
 import gevent
 from loguru import logger
 
-from .board import Board
+from .board import NodeContext
 from .budget import RetryBudget
 from .codes import ResultCode
 from .errors import GentianmuxError
@@ -38,11 +38,11 @@
 
     Parameters
     ----------
-    ctx : Board
+    ctx : NodeContext
         The blackboard; this puts itself there as ``coordinator``.
     """
 
-    def __init__(self, ctx: Board) -> None:
+    def __init__(self, ctx: NodeContext) -> None:
         ctx.coordinator = self
         self.jobs: dict[str, Job] = {}
         self._repeats = RetryBudget(ctx.cfg.hedge_percent)
@@ -278,11 +278,11 @@
         if refused:
             # The log may say that the agent left as planned; time to read it is given first.
             self._ctx.read_soon.set()
-            self._ctx.clock.later(READ_S, self._end_all_lost, process)
+            self._ctx.clock.call_later(READ_S, self._end_all_lost, process)
         elif self._ctx.now() - since > LOST_AFTER_S:
             self._end_all_lost(process)
         elif fresh or not self._ctx.peers.is_connected(process):
-            self._ctx.clock.later(RESEND_S, self._resend, process)
+            self._ctx.clock.call_later(RESEND_S, self._resend, process)
 
     def _end_all_lost(self, process: str) -> None:
         self._lost_since.pop(process, None)
--- a/src/gentianmux/dispatcher.py
+++ b/src/gentianmux/dispatcher.py
@@ -5,7 +5,7 @@
 import gevent
 from gevent.event import AsyncResult
 
-from .board import Board
+from .board import NodeContext
 from .codes import ResultCode
 from .messages import Answer, Cancel, Explain, Query, Submit
 
@@ -46,11 +46,11 @@
 
     Parameters
     ----------
-    ctx : Board
+    ctx : NodeContext
         The blackboard; this puts itself there as ``dispatcher``.
     """
 
-    def __init__(self, ctx: Board) -> None:
+    def __init__(self, ctx: NodeContext) -> None:
         ctx.dispatcher = self
         self.inflight = 0
         self._ctx = ctx
--- a/src/gentianmux/executor.py
+++ b/src/gentianmux/executor.py
@@ -7,7 +7,7 @@
 import gevent
 from loguru import logger
 
-from .board import Board
+from .board import NodeContext
 from .codes import ResultCode
 from .endpoint_client import EndpointClient, Run, task_name
 from .fair_queue import FairQueue
@@ -49,11 +49,11 @@
 
     Parameters
     ----------
-    ctx : Board
+    ctx : NodeContext
         The blackboard; this puts itself there as ``executor``.
     """
 
-    def __init__(self, ctx: Board) -> None:
+    def __init__(self, ctx: NodeContext) -> None:
         ctx.executor = self
         self.records = StartRecords(ctx.cfg.keep_s * 1000)
         self.running: dict[str, tuple[JobRecord, TaskRecord]] = {}
@@ -221,7 +221,7 @@
         self._offers[number] = member
         self._held[member] += 1
         self._ctx.peers.send(reservation.coordinator, Offer(reservation.key, number))
-        self._ctx.clock.later(OFFER_S, self._end_offer, number, "offer_lapsed")
+        self._ctx.clock.call_later(OFFER_S, self._end_offer, number, "offer_lapsed")
 
     def _end_offer(self, number: int, wasted: str = "") -> None:
         if number not in self._offers:
@@ -306,7 +306,7 @@
         """Send results of a job that goes on together with those of the next moment."""
         if job.key not in self._flushing:
             self._flushing.add(job.key)
-            self._ctx.clock.later(GATHER_S, self._flush_gathered, job)
+            self._ctx.clock.call_later(GATHER_S, self._flush_gathered, job)
 
     def _flush_gathered(self, job: JobRecord) -> None:
         self._flushing.discard(job.key)
--- a/src/gentianmux/gossip.py
+++ b/src/gentianmux/gossip.py
@@ -5,7 +5,7 @@
 import gevent
 from gevent.server import DatagramServer
 
-from .board import Board
+from .board import NodeContext
 from .codec import decode, encode
 from .errors import FrameError
 from .frames import seal, unseal
@@ -21,11 +21,11 @@
 
     Parameters
     ----------
-    ctx : Board
+    ctx : NodeContext
         The blackboard.
     """
 
-    def __init__(self, ctx: Board) -> None:
+    def __init__(self, ctx: NodeContext) -> None:
         self._ctx = ctx
         ip, _, port = ctx.cfg.peer_address.partition(":")
         self._server = DatagramServer((ip, int(port)), self._take)
--- a/src/gentianmux/handlers.py
+++ b/src/gentianmux/handlers.py
@@ -4,7 +4,7 @@
 
 from loguru import logger
 
-from .board import Board
+from .board import NodeContext
 from .codes import ResultCode
 from .conn import Conn
 from .job import Waiter
@@ -37,14 +37,14 @@
 
 
 @singledispatch
-def handle(msg: Message, ctx: Board, sender: str) -> None:
+def handle(msg: Message, ctx: NodeContext, sender: str) -> None:
     """Hand a message to the controller it is for; must not block.
 
     Parameters
     ----------
     msg : Message
         What a peer sent.
-    ctx : Board
+    ctx : NodeContext
         The blackboard.
     sender : str
         The process that sent it.
@@ -54,121 +54,121 @@
 
 
 @handle.register
-def _(msg: Answer, ctx: Board, sender: str) -> None:
+def _(msg: Answer, ctx: NodeContext, sender: str) -> None:
     ctx.dispatcher.on_answer(msg)
 
 
 @handle.register
-def _(msg: Submit, ctx: Board, sender: str) -> None:
+def _(msg: Submit, ctx: NodeContext, sender: str) -> None:
     ctx.coordinator.on_submit(msg, Waiter(sender, msg.request))
 
 
 @handle.register
-def _(msg: Query, ctx: Board, sender: str) -> None:
+def _(msg: Query, ctx: NodeContext, sender: str) -> None:
     ctx.coordinator.on_query(msg, Waiter(sender, msg.request))
 
 
 @handle.register
-def _(msg: Cancel, ctx: Board, sender: str) -> None:
+def _(msg: Cancel, ctx: NodeContext, sender: str) -> None:
     ctx.coordinator.on_cancel(msg, Waiter(sender, msg.request))
 
 
 @handle.register
-def _(msg: Explain, ctx: Board, sender: str) -> None:
+def _(msg: Explain, ctx: NodeContext, sender: str) -> None:
     ctx.coordinator.on_explain(msg, Waiter(sender, msg.request))
 
 
 @handle.register
-def _(msg: StartBatch, ctx: Board, sender: str) -> None:
+def _(msg: StartBatch, ctx: NodeContext, sender: str) -> None:
     ctx.executor.on_batch(msg, sender)
 
 
 @handle.register
-def _(msg: Reserve, ctx: Board, sender: str) -> None:
+def _(msg: Reserve, ctx: NodeContext, sender: str) -> None:
     ctx.executor.on_reserve(msg, sender)
 
 
 @handle.register
-def _(msg: Offer, ctx: Board, sender: str) -> None:
+def _(msg: Offer, ctx: NodeContext, sender: str) -> None:
     ctx.placement.on_offer(msg, sender)
 
 
 @handle.register
-def _(msg: Decline, ctx: Board, sender: str) -> None:
+def _(msg: Decline, ctx: NodeContext, sender: str) -> None:
     ctx.executor.on_decline(msg)
 
 
 @handle.register
-def _(msg: ResultBatch, ctx: Board, sender: str) -> None:
+def _(msg: ResultBatch, ctx: NodeContext, sender: str) -> None:
     ctx.coordinator.on_results(msg, sender)
 
 
 @handle.register
-def _(msg: Revoke, ctx: Board, sender: str) -> None:
+def _(msg: Revoke, ctx: NodeContext, sender: str) -> None:
     ctx.executor.on_revoke(msg.keys)
 
 
 @handle.register
-def _(msg: TraceQuery, ctx: Board, sender: str) -> None:
+def _(msg: TraceQuery, ctx: NodeContext, sender: str) -> None:
     ctx.executor.on_trace_query(msg, sender)
 
 
 @handle.register
-def _(msg: TraceReply, ctx: Board, sender: str) -> None:
+def _(msg: TraceReply, ctx: NodeContext, sender: str) -> None:
     ctx.keeper.on_trace_reply(msg)
 
 
 @handle.register
-def _(msg: LeaseRequest, ctx: Board, sender: str) -> None:
+def _(msg: LeaseRequest, ctx: NodeContext, sender: str) -> None:
     ctx.keeper.on_lease_request(msg, sender)
 
 
 @handle.register
-def _(msg: LeaseGrant, ctx: Board, sender: str) -> None:
+def _(msg: LeaseGrant, ctx: NodeContext, sender: str) -> None:
     ctx.keeper.on_lease_grant(msg)
 
 
 @handle.register
-def _(msg: LedgerHandover, ctx: Board, sender: str) -> None:
+def _(msg: LedgerHandover, ctx: NodeContext, sender: str) -> None:
     ctx.keeper.moves.on_handover(msg, sender)
 
 
 @handle.register
-def _(msg: HandoverReply, ctx: Board, sender: str) -> None:
+def _(msg: HandoverReply, ctx: NodeContext, sender: str) -> None:
     ctx.keeper.moves.on_handover_reply(msg, sender)
 
 
 @handle.register
-def _(msg: Farewell, ctx: Board, sender: str) -> None:
+def _(msg: Farewell, ctx: NodeContext, sender: str) -> None:
     ctx.coordinator.on_farewell(msg, sender)
 
 
 @handle.register
-def _(msg: FarewellReply, ctx: Board, sender: str) -> None:
+def _(msg: FarewellReply, ctx: NodeContext, sender: str) -> None:
     ctx.executor.on_farewell_reply(msg)
 
 
 @handle.register
-def _(msg: StatePull, ctx: Board, sender: str) -> None:
+def _(msg: StatePull, ctx: NodeContext, sender: str) -> None:
     ctx.watch.on_pull(msg, sender)
 
 
 @handle.register
-def _(msg: StateBody, ctx: Board, sender: str) -> None:
+def _(msg: StateBody, ctx: NodeContext, sender: str) -> None:
     ctx.watch.on_body(msg)
 
 
 @handle.register
-def _(msg: RecordsHandover, ctx: Board, sender: str) -> None:
+def _(msg: RecordsHandover, ctx: NodeContext, sender: str) -> None:
     ctx.executor.on_records(msg, sender)
 
 
 @handle.register
-def _(msg: RecordsReply, ctx: Board, sender: str) -> None:
+def _(msg: RecordsReply, ctx: NodeContext, sender: str) -> None:
     ctx.executor.on_records_reply(msg)
 
 
-def on_lost(process: str, conn: Conn, ctx: Board) -> None:
+def on_lost(process: str, conn: Conn, ctx: NodeContext) -> None:
     """Tell the controllers that a connection closed."""
     if ctx.is_agent:
         ctx.coordinator.on_lost(process, conn.opened, conn.refused)
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -37,7 +37,7 @@
 from .model import (
     EndpointDriver,
     EndpointReport,
-    How,
+    RunOutcome,
 )
 from .payloads import unpack
 from .resources import Resources
@@ -234,7 +234,7 @@
         payloads = [unpack(payload) for payload in msg.payloads]
         for task in msg.tasks:
             payload = payloads[task.payload]
-            how = self._starts.begin(task, payload, entry) if fresh else How.NOT_STARTED
+            how = self._starts.begin(task, payload, entry) if fresh else RunOutcome.NOT_STARTED
             if how is not None:
                 refused = True
                 self._ctx.metrics.count("runs_refused", label=how.name.lower())
@@ -257,7 +257,7 @@
             key = (ref.task, ref.run)
             run = self._ctx.table.runs.get(key)
             if run is not None and run.entry == entry:
-                self._stops.stop(key, How.STOPPED, "withdrawn")
+                self._stops.stop(key, RunOutcome.STOPPED, "withdrawn")
             else:
                 self._starts.take_back(key, entry)
         self._stops.stop_due()
@@ -397,7 +397,7 @@
         self._ctx.leaves_at = self._ctx.clock.now()
         self._tell_state()
         for key in list(self._ctx.table.runs):
-            self._stops.stop(key, How.STOPPED, "the agent ends")
+            self._stops.stop(key, RunOutcome.STOPPED, "the agent ends")
         self._stops.stop_due()
         last = self._ctx.clock.now() + 0.3
         while (
--- a/src/gentianmux/leased/agent_context.py
+++ b/src/gentianmux/leased/agent_context.py
@@ -11,8 +11,8 @@
 from .health import EndpointHealth
 from .leaving import NO_BOUND_MS, longest_ms
 from .links import Links
-from .model import EndpointDriver, EndpointReport, How
-from .resources import NO_ROOM, Resources
+from .model import EndpointDriver, EndpointReport, RunOutcome
+from .resources import NO_RESOURCES, Resources
 from .run_table import Finished, RunTable
 from .settings import LeasedSettings, lease_s
 
@@ -100,7 +100,7 @@
     def offered(self) -> Resources:
         """Room in which new runs may begin now."""
         if not self.is_accepting:
-            return NO_ROOM
+            return NO_RESOURCES
         return self.health.offered(self.table.room.free, len(self.table.runs), self.clock.now())
 
     def end_all(self, finished: list[Finished]) -> None:
@@ -108,9 +108,9 @@
         now = self.clock.now()
         for run, how in finished:
             ran_s = now - run.began
-            if how in (How.DONE, How.FAILED):
-                ratio = ran_s * 1000 / max(1, run.estimate_ms) if how is How.DONE else None
-                self.health.ended(job_of(run.key[0]), how is How.FAILED, ratio, now)
+            if how in (RunOutcome.DONE, RunOutcome.FAILED):
+                ratio = ran_s * 1000 / max(1, run.estimate_ms) if how is RunOutcome.DONE else None
+                self.health.ended(job_of(run.key[0]), how is RunOutcome.FAILED, ratio, now)
             self.metrics.count("runs_ended", label=how.name.lower())
             self.metrics.observe("run_seconds", ran_s, label=how.name.lower())
             logger.bind(
--- a/src/gentianmux/leased/backlog.py
+++ b/src/gentianmux/leased/backlog.py
@@ -7,7 +7,7 @@
 
 from .admission import urgency
 from .job_state import JobState, Waiting
-from .resources import NO_ROOM, Resources
+from .resources import NO_RESOURCES, Resources
 
 Kind = tuple[bool, bool, int]
 """A kind of urgency: served late, not begun, priority."""
@@ -52,7 +52,7 @@
     """Keeps the demand of one kind as jobs come and go."""
 
     def __init__(self) -> None:
-        self.total = NO_ROOM
+        self.total = NO_RESOURCES
         self.least_cpus: list[int] = []
 
     def add(self, waiting: Waiting) -> None:
--- a/src/gentianmux/leased/config_handing.py
+++ b/src/gentianmux/leased/config_handing.py
@@ -121,7 +121,7 @@
         packed = self._pack()
         body = packed[offset : offset + PIECE_BYTES]
         self._links.send(process, ConfigPiece(self._feed.version, offset, len(packed), body))
-        self._clock.later(PIECE_GAP_S, self._send_next)
+        self._clock.call_later(PIECE_GAP_S, self._send_next)
 
     def _pack(self) -> bytes:
         version, packed = self._packed
--- a/src/gentianmux/leased/endpoint_tracker.py
+++ b/src/gentianmux/leased/endpoint_tracker.py
@@ -10,7 +10,7 @@
 from .config_feed import ConfigFeed
 from .endpoint_word import Word, judge
 from .model import EndpointDriver, EndpointReport
-from .resources import NO_ROOM
+from .resources import NO_RESOURCES
 from .run_table import Finished, RunTable
 from .settings import LeasedSettings
 
@@ -163,7 +163,7 @@
         self.report = None
         self._followed = ""
         finished = self._table.lose_all()
-        self._table.reset(NO_ROOM)
+        self._table.reset(NO_RESOURCES)
         self._turned(finished)
         # An agent that starts anew would take up the ended life from its announcement.
         self._hooks.news(None)
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -29,9 +29,9 @@
 from .job_state import JobState, Outcome, longest_chain_s
 from .leaving import ends_in_time
 from .links import Links
-from .model import How, JobSpec, QueueRules
+from .model import JobSpec, QueueRules, RunOutcome
 from .placing import Placing
-from .resources import NO_ROOM
+from .resources import NO_RESOURCES
 from .run_ends import RunEnds
 from .ticket import Ticket, Verdict
 
@@ -182,7 +182,7 @@
     @on_message.register
     def _(self, msg: EndedRuns, agent: str) -> None:
         for row in msg.runs:
-            self._ends.take(agent, row.task, row.run, How(row.how))
+            self._ends.take(agent, row.task, row.run, RunOutcome(row.how))
         view = self._ctx.view.of(agent)
         if msg.runs:
             view.seen = max(view.seen, msg.runs[-1].number)
@@ -225,7 +225,7 @@
         """Keep what the agent holds until it is surely over: it may connect again."""
         view = self._ctx.view.agents.get(agent)
         if view is not None:
-            view.offer(NO_ROOM)
+            view.offer(NO_RESOURCES)
         self._ctx.window.forget(agent)
 
     # Upkeep
--- a/src/gentianmux/leased/entry_reports.py
+++ b/src/gentianmux/leased/entry_reports.py
@@ -8,8 +8,8 @@
 from .chain import IDLE_REPORT_S, REPORT_S, AgentSide
 from .grants import GRANT_S, Grants
 from .links import Links
-from .model import How
-from .resources import NO_ROOM, Resources
+from .model import RunOutcome
+from .resources import NO_RESOURCES, Resources
 
 GATHER_S = 0.002
 """Seconds for which changes are gathered into one report to all: about one network round trip."""
@@ -57,7 +57,7 @@
 
     Examples
     --------
-    ``reports.ended("e1.5", "task", 1, How.DONE, 120)`` and then ``reports.flush_ended("e1.5")``.
+    ``reports.ended("e1.5", "task", 1, RunOutcome.DONE, 120)`` and then ``reports.flush_ended("e1.5")``.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
         """Whether an entry has yet to acknowledge some ended run."""
         return bool(self._unseen.get(entry))
 
-    def ended(self, entry: str, task: str, run: int, how: How, ran_ms: int) -> None:
+    def ended(self, entry: str, task: str, run: int, how: RunOutcome, ran_ms: int) -> None:
         """Keep how a run ended until its entry has acknowledged it."""
         self._ended_number += 1
         row = EndedRun(self._ended_number, task, run, int(how), ran_ms)
@@ -141,7 +141,7 @@
         """Report to all entries what changes for all of them."""
         if not self._gathering:
             self._gathering = True
-            self._clock.later(GATHER_S, self.send_load)
+            self._clock.call_later(GATHER_S, self.send_load)
 
     def send_load(self) -> None:
         """Report the load to every entry."""
@@ -171,7 +171,7 @@
         offers = self.grants.offers(self._in_turn(), load.offered, now)
         for entry in entries:
             self._reported_at[entry] = now
-            room = offers.get(entry, NO_ROOM)
+            room = offers.get(entry, NO_RESOURCES)
             msg = AgentLoad(
                 number=self._number,
                 applied=self.applied.get(entry, 0),
@@ -241,7 +241,7 @@
     def _look_for_lapsed(self) -> None:
         if not self._lapsing:
             self._lapsing = True
-            self._clock.later(GRANT_S, self._after_lapse)
+            self._clock.call_later(GRANT_S, self._after_lapse)
 
     def _after_lapse(self) -> None:
         self._lapsing = False
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -10,7 +10,7 @@
 from .claiming import Signature
 from .leaving import NO_BOUND_MS
 from .model import instance_of
-from .resources import NO_ROOM, Resources
+from .resources import NO_RESOURCES, Resources
 
 SILENT_S = CHAIN_S - 0.05
 """Seconds without a load report after which an agent gets nothing new: what is assigned later comes
@@ -49,10 +49,10 @@
     state: EndpointState | None = None
     heard_at: float = 0.0
     newest_load: int = 0
-    free: Resources = NO_ROOM
+    free: Resources = NO_RESOURCES
     slowness: float = 1.0
     assigned: int = 0
-    _offered: Resources = NO_ROOM
+    _offered: Resources = NO_RESOURCES
     _pending: dict[int, Resources] = field(default_factory=dict)
     failed_until: float = 0.0
     told: Signature = ()
@@ -70,7 +70,7 @@
 
     def reserve(self, number: int, need: Resources) -> None:
         """Take a task's room for an assignment that the agent has not reported on yet."""
-        self._pending[number] = self._pending.get(number, NO_ROOM).plus(need)
+        self._pending[number] = self._pending.get(number, NO_RESOURCES).plus(need)
         self.free = self.free.minus(need)
 
     def take_load(self, load: AgentLoad, now: float) -> None:
@@ -287,4 +287,4 @@
 
 def _capacity_of(agent: AgentView) -> Resources:
     state = agent.state
-    return NO_ROOM if state is None else Resources(state.cpu, state.mem_mb, state.gpu)
+    return NO_RESOURCES if state is None else Resources(state.cpu, state.mem_mb, state.gpu)
--- a/src/gentianmux/leased/grants.py
+++ b/src/gentianmux/leased/grants.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from ..messages import Claim
-from .resources import NO_ROOM, Resources
+from .resources import NO_RESOURCES, Resources
 
 GRANT_S = 0.04
 """Seconds for which granted room is kept for its entry: some ten round trips between failure
@@ -75,7 +75,7 @@
     """
 
     def __init__(self) -> None:
-        self.late_reserve = NO_ROOM
+        self.late_reserve = NO_RESOURCES
         self.task_cpu = 0
         self._claims: dict[str, list[Waiting]] = {}
         self._granted: dict[str, _Grant] = {}
@@ -173,7 +173,7 @@
 
     def _granted_room(self, entry: str, now: float) -> Resources:
         grant = self._granted.get(entry)
-        return grant.room if grant is not None and grant.until > now else NO_ROOM
+        return grant.room if grant is not None and grant.until > now else NO_RESOURCES
 
     def _is_late(self, entry: str) -> bool:
         """Whether an entry waits for room, and only with work that will be late."""
@@ -184,7 +184,7 @@
         """Room that is left when every claim that can be granted has been."""
         left = self._left(free)
         if any(_part(w, self._open_to(w.late, left)) for w in self._open_claims(now)):
-            return NO_ROOM
+            return NO_RESOURCES
         return left
 
 
--- a/src/gentianmux/leased/job_state.py
+++ b/src/gentianmux/leased/job_state.py
@@ -5,9 +5,9 @@
 from enum import Enum
 from typing import NamedTuple
 
-from .model import How, JobSpec, QueueRules, StepSpec
+from .model import JobSpec, QueueRules, RunOutcome, StepSpec
 from .payloads import pack
-from .resources import NO_ROOM, Resources
+from .resources import NO_RESOURCES, Resources
 
 FIRST_RUN = 1
 """Runs of a task are numbered from here."""
@@ -163,8 +163,8 @@
         """What the tasks that can begin take; nothing when none can."""
         if self._waiting is None:
             needs = [self.step_of(task).need for task in self.ready()]
-            total = Resources(*map(sum, zip(*needs, strict=True))) if needs else NO_ROOM
-            self._waiting = Waiting(total, min(needs, default=NO_ROOM))
+            total = Resources(*map(sum, zip(*needs, strict=True))) if needs else NO_RESOURCES
+            self._waiting = Waiting(total, min(needs, default=NO_RESOURCES))
         return self._waiting
 
     def _changed(self) -> None:
@@ -196,7 +196,7 @@
         self._changed()
         return task.run
 
-    def ended(self, name: str, run: int, how: How) -> bool:
+    def ended(self, name: str, run: int, how: RunOutcome) -> bool:
         """Take in how a run ended; false for one that is not, or no longer, out."""
         task = self.tasks.get(name)
         if task is None or task.phase is not Phase.OUT or task.run != run:
@@ -204,16 +204,16 @@
         if not how.never_ran:
             self.may_have_run = True
         self._changed()
-        if how is How.DONE:
+        if how is RunOutcome.DONE:
             task.phase = Phase.DONE
             self._left -= 1
             return True
         task.phase = Phase.WAITING
-        if how is How.OLD_RUN:
+        if how is RunOutcome.OLD_RUN:
             task.run += OLD_RUN_STEP
-        elif how not in (How.NO_ROOM, How.DRAINING):
+        elif how not in (RunOutcome.NO_ROOM, RunOutcome.DRAINING):
             task.avoid.add(task.life)
-        if how is How.FAILED:
+        if how is RunOutcome.FAILED:
             task.failures += 1
             self.failed = self.failed or task.failures >= self.queue.max_attempts
         return True
--- a/src/gentianmux/leased/model.py
+++ b/src/gentianmux/leased/model.py
@@ -139,7 +139,7 @@
     NO_ANSWER = "no_answer"
 
 
-class How(IntEnum):
+class RunOutcome(IntEnum):
     """How a run left an agent; the first four prove that it did nothing."""
 
     NO_ROOM = 1
@@ -155,7 +155,7 @@
     @property
     def never_ran(self) -> bool:
         """Whether the run did not start and never will."""
-        return self < How.DONE
+        return self < RunOutcome.DONE
 
 
 class ActiveRun(NamedTuple):
@@ -172,7 +172,7 @@
     number: int
     task: str
     run: int
-    how: How
+    how: RunOutcome
 
 
 class HoldReply(NamedTuple):
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -11,8 +11,8 @@
 from .entry_board import EntryBoard
 from .fleet_view import AgentView, Wish
 from .job_state import TASK_BYTES, JobState, TaskState
-from .model import How
-from .resources import NO_ROOM, Resources
+from .model import RunOutcome
+from .resources import NO_RESOURCES, Resources
 from .run_ends import RunEnds
 
 CLAIM_AGAIN_S = 0.02
@@ -191,7 +191,7 @@
             self._ctx.window.sent(process, msg.number, size, self._ctx.clock.now())
         else:
             for task in tasks:
-                self._ends.take(process, task.name, task.run, How.NOT_STARTED)
+                self._ends.take(process, task.name, task.run, RunOutcome.NOT_STARTED)
 
     def _with_payloads(
         self, process: str, tasks: list[LeasedTask]
@@ -229,7 +229,7 @@
         """
         for agent in self._ctx.view.agents.values():
             if agent.told and agent.free.cpu > 0 and not self._is_of_use(agent):
-                agent.offer(NO_ROOM)
+                agent.offer(NO_RESOURCES)
                 self._ctx.echo(agent, gives_back=True)
 
     def _is_of_use(self, agent: AgentView) -> bool:
--- a/src/gentianmux/leased/resources.py
+++ b/src/gentianmux/leased/resources.py
@@ -43,7 +43,7 @@
         return max(parts, default=0.0)
 
 
-NO_ROOM = Resources()
+NO_RESOURCES = Resources()
 
 
 class RoomAccount:
@@ -58,10 +58,10 @@
     False
     """
 
-    def __init__(self, capacity: Resources = NO_ROOM) -> None:
+    def __init__(self, capacity: Resources = NO_RESOURCES) -> None:
         self.capacity = capacity
         self._taken: dict[tuple[str, int], Resources] = {}
-        self.used = NO_ROOM
+        self.used = NO_RESOURCES
 
     @property
     def free(self) -> Resources:
--- a/src/gentianmux/leased/run_ends.py
+++ b/src/gentianmux/leased/run_ends.py
@@ -5,7 +5,7 @@
 from ..messages import Holding, RunRef, Withdraw
 from .entry_board import EntryBoard
 from .job_state import Outcome
-from .model import How, instance_of
+from .model import RunOutcome, instance_of
 from .ticket import Verdict
 
 REFUSED_PAUSE_S = 0.05
@@ -49,16 +49,16 @@
             refs = [RunRef(*key) for key in sorted([*missing, *unwanted])]
             self._ctx.links.send(agent, Withdraw(refs))
 
-    def take(self, agent: str, name: str, run: int, how: How) -> None:
+    def take(self, agent: str, name: str, run: int, how: RunOutcome) -> None:
         """Take in how a run of an agent ended."""
         job = self._ctx.out[agent].pop((name, run), None)
         if job is None or not job.ended(name, run, how):
             self._ctx.metrics.count("late_ends", label=how.name.lower())
             return
         self._ctx.metrics.count("runs_back", label=how.name.lower())
-        if how in (How.NOT_STARTED, How.DRAINING):
+        if how in (RunOutcome.NOT_STARTED, RunOutcome.DRAINING):
             self._ctx.view.of(agent).failed_until = self._ctx.clock.now() + REFUSED_PAUSE_S
-        if how not in (How.DONE, How.NO_ROOM):
+        if how not in (RunOutcome.DONE, RunOutcome.NO_ROOM):
             logger.bind(task=name, run=run, peer=agent, how=how.name.lower()).info("run came back")
         if job.failed:
             self._ctx.finish(job, Verdict(Outcome.FAILED, f"{name} failed too often"))
@@ -80,6 +80,6 @@
         if held:
             logger.bind(peer=process, runs=len(held), reason=reason).warning("runs lost")
         for name, run in held:
-            self.take(process, name, run, How.LOST)
+            self.take(process, name, run, RunOutcome.LOST)
         self._ctx.out.pop(process, None)
         self.opened_at.pop(process, None)
--- a/src/gentianmux/leased/run_starts.py
+++ b/src/gentianmux/leased/run_starts.py
@@ -4,7 +4,7 @@
 
 from ..messages import LeasedTask
 from .agent_context import AgentContext, job_of
-from .model import How, StartVerdict
+from .model import RunOutcome, StartVerdict
 from .resources import Resources
 from .run_stops import RunStops
 from .run_table import RunKey
@@ -17,11 +17,11 @@
 """Seconds between looks for that; a stop takes up to 50 ms."""
 
 _NOT_RUN = {
-    StartVerdict.OLD_RUN: How.OLD_RUN,
-    StartVerdict.NO_ROOM: How.NO_ROOM,
-    StartVerdict.UNHEALTHY: How.NOT_STARTED,
-    StartVerdict.REFUSED: How.NOT_STARTED,
-    StartVerdict.REPLACED: How.NOT_STARTED,
+    StartVerdict.OLD_RUN: RunOutcome.OLD_RUN,
+    StartVerdict.NO_ROOM: RunOutcome.NO_ROOM,
+    StartVerdict.UNHEALTHY: RunOutcome.NOT_STARTED,
+    StartVerdict.REFUSED: RunOutcome.NOT_STARTED,
+    StartVerdict.REPLACED: RunOutcome.NOT_STARTED,
 }
 
 
@@ -51,31 +51,31 @@
         self._stops = stops
         self._withdrawn = WithdrawnRuns()
 
-    def begin(self, task: LeasedTask, payload: str, entry: str) -> How | None:
+    def begin(self, task: LeasedTask, payload: str, entry: str) -> RunOutcome | None:
         """Begin a run; how it was refused, or None when it was not."""
         key = (task.name, task.run)
         if self._withdrawn.holds(entry, key):
-            return How.NOT_STARTED
+            return RunOutcome.NOT_STARTED
         if not self._ctx.is_accepting or task.estimate_ms > self._ctx.longest_ms():
-            return How.DRAINING
+            return RunOutcome.DRAINING
         if key in self._ctx.table.runs and self._ctx.table.runs[key].entry == entry:
             return None
         if self._ctx.table.runs_of_task(task.name):
             # An earlier run, perhaps of another entry, has to be gone first.
             for run in self._ctx.table.runs_of_task(task.name):
-                self._stops.stop(run.key, How.STOPPED, "replaced by a newer run")
+                self._stops.stop(run.key, RunOutcome.STOPPED, "replaced by a newer run")
             self._stops.stop_due()
             until = self._ctx.clock.now() + REPLACE_S
             args = (task, payload, entry, until)
-            self._ctx.clock.later(REPLACE_CHECK_S, self._begin_when_gone, *args)
+            self._ctx.clock.call_later(REPLACE_CHECK_S, self._begin_when_gone, *args)
             self.replacing.add(key)
             return None
         now = self._ctx.clock.now()
         need = Resources(task.cpu, task.mem_mb, task.gpu)
         if not self._ctx.offered().fits(need):
-            return How.NO_ROOM
+            return RunOutcome.NO_ROOM
         if not self._ctx.table.begin(key, entry, need, task.estimate_ms, now):
-            return How.NO_ROOM
+            return RunOutcome.NO_ROOM
         self._ctx.reports.grants.task_cpu = need.cpu
         self._ctx.metrics.count("runs_started")
         logger.bind(
@@ -97,11 +97,11 @@
         gone = not self._ctx.table.runs_of_task(task.name)
         if not gone and now < until:
             args = (task, payload, entry, until)
-            self._ctx.clock.later(REPLACE_CHECK_S, self._begin_when_gone, *args)
+            self._ctx.clock.call_later(REPLACE_CHECK_S, self._begin_when_gone, *args)
             return
         self.replacing.discard((task.name, task.run))
         fresh = self._ctx.reports.chain.holds(entry, now)
-        how = self.begin(task, payload, entry) if gone and fresh else How.NOT_STARTED
+        how = self.begin(task, payload, entry) if gone and fresh else RunOutcome.NOT_STARTED
         if how is not None:
             self._ctx.reports.ended(entry, task.name, task.run, how, 0)
             self._ctx.reports.flush_ended(entry)
@@ -115,10 +115,10 @@
         if run.carried or not self._ctx.reports.chain.holds(run.entry, now):
             # Its endpoint has started again, or the process stood still since it took the run on:
             # the room may be less, and the run at work elsewhere.
-            self._end_unstarted(key, How.NOT_STARTED)
+            self._end_unstarted(key, RunOutcome.NOT_STARTED)
             return
         if self._ctx.is_evacuated:
-            self._end_unstarted(key, How.DRAINING)
+            self._end_unstarted(key, RunOutcome.DRAINING)
             return
         verdict = self._ctx.driver.start(task.name, task.run, payload, self._ctx.lease_s, now)
         now = self._ctx.clock.now()
@@ -137,7 +137,7 @@
             self._ctx.health.ended(job_of(task.name), True, None, now)
         self._end_unstarted(key, _NOT_RUN[verdict])
 
-    def _end_unstarted(self, key: RunKey, how: How) -> None:
+    def _end_unstarted(self, key: RunKey, how: RunOutcome) -> None:
         done = self._ctx.table.refused(key, how)
         if done is not None:
             self._ctx.end_all([done])
@@ -150,4 +150,4 @@
         """
         self.replacing.discard(key)
         self._withdrawn.add(entry, key, self._ctx.clock.now())
-        self._ctx.reports.ended(entry, *key, How.NOT_STARTED, 0)
+        self._ctx.reports.ended(entry, *key, RunOutcome.NOT_STARTED, 0)
--- a/src/gentianmux/leased/run_stops.py
+++ b/src/gentianmux/leased/run_stops.py
@@ -3,7 +3,7 @@
 from loguru import logger
 
 from .agent_context import AgentContext
-from .model import How
+from .model import RunOutcome
 from .run_table import RunKey
 
 
@@ -17,13 +17,13 @@
 
     Examples
     --------
-    ``stops.stop(key, How.STOPPED, "withdrawn")``, and ``stops.stop_due()`` once all are named.
+    ``stops.stop(key, RunOutcome.STOPPED, "withdrawn")``, and ``stops.stop_due()`` once all are named.
     """
 
     def __init__(self, ctx: AgentContext) -> None:
         self._ctx = ctx
 
-    def stop(self, key: RunKey, why: How, reason: str) -> None:
+    def stop(self, key: RunKey, why: RunOutcome, reason: str) -> None:
         """Have a run stopped; it is gone only once a look has shown that."""
         if self._ctx.table.want_stopped(key, why):
             self._ctx.metrics.count("runs_stopped", label=why.name.lower())
@@ -48,5 +48,5 @@
         now = self._ctx.clock.now()
         for run in list(self._ctx.table.runs.values()):
             if not self._ctx.reports.chain.holds(run.entry, now):
-                self.stop(run.key, How.STOPPED, f"{run.entry} no longer echoes")
+                self.stop(run.key, RunOutcome.STOPPED, f"{run.entry} no longer echoes")
         self.stop_due()
--- a/src/gentianmux/leased/run_table.py
+++ b/src/gentianmux/leased/run_table.py
@@ -5,7 +5,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from .model import HoldReply, How
+from .model import HoldReply, RunOutcome
 from .progress import Progress
 from .resources import Resources, RoomAccount
 
@@ -47,7 +47,7 @@
     began: float
     phase: Phase = Phase.STARTING
     answered_at: float = 0.0
-    stop_why: How = How.STOPPED
+    stop_why: RunOutcome = RunOutcome.STOPPED
     stopped_at: float | None = None
     listed: bool = False
     carried: bool = False
@@ -64,7 +64,7 @@
     """A run that is gone, and how."""
 
     run: Run
-    how: How
+    how: RunOutcome
 
 
 class RunTable:
@@ -110,7 +110,7 @@
             run.carried = True
             run.stopped_at = None
             if run.stop_why.never_ran:
-                run.stop_why = How.LOST
+                run.stop_why = RunOutcome.LOST
         self.acknowledged = 0
         self.foreign = set()
         self.looked = False
@@ -144,7 +144,7 @@
             if run.phase is Phase.STARTING:
                 run.phase = Phase.RUNNING
 
-    def refused(self, key: RunKey, how: How) -> Finished | None:
+    def refused(self, key: RunKey, how: RunOutcome) -> Finished | None:
         """Note that the endpoint refused a start, which proves that it did nothing."""
         return self._finish(key, how)
 
@@ -155,7 +155,7 @@
             run.phase = Phase.DOUBTFUL
             run.answered_at = now
 
-    def want_stopped(self, key: RunKey, why: How) -> bool:
+    def want_stopped(self, key: RunKey, why: RunOutcome) -> bool:
         """Mark a run to be stopped; false when it is gone or being stopped."""
         run = self.runs.get(key)
         if run is None or run.phase is Phase.STOPPING:
@@ -207,9 +207,9 @@
             run = self.runs.get((row.task, row.run))
             if run is None:
                 continue
-            how = run.stop_why if row.how is How.STOPPED else row.how
+            how = run.stop_why if row.how is RunOutcome.STOPPED else row.how
             # A run that did begin is never reported as one that did nothing.
-            how = How.STOPPED if how.never_ran else how
+            how = RunOutcome.STOPPED if how.never_ran else how
             done = self._finish(run.key, how)
             if done is not None:
                 yield done
@@ -222,15 +222,15 @@
             run.phase = Phase.RUNNING
             run.answered_at = now
         if run.phase is Phase.STOPPING and run.stop_why.never_ran:
-            run.stop_why = How.STOPPED
+            run.stop_why = RunOutcome.STOPPED
 
     def _not_listed(self, run: Run, asked_at: float) -> Iterator[Finished]:
         if run.phase is Phase.DOUBTFUL and asked_at > run.answered_at:
-            self.want_stopped(run.key, How.LOST if run.carried else How.NOT_STARTED)
+            self.want_stopped(run.key, RunOutcome.LOST if run.carried else RunOutcome.NOT_STARTED)
         elif run.phase is Phase.RUNNING and asked_at > run.answered_at:
             run.missing += 1
             if run.missing >= MISSING_LOOKS:
-                self.want_stopped(run.key, How.LOST)
+                self.want_stopped(run.key, RunOutcome.LOST)
         elif run.stopped_at is not None and asked_at > run.stopped_at:
             done = self._finish(run.key, run.stop_why)
             if done is not None:
@@ -241,10 +241,10 @@
         return self._lose(list(self.runs))
 
     def _lose(self, keys: list[RunKey]) -> list[Finished]:
-        finished = [self._finish(key, How.LOST) for key in keys]
+        finished = [self._finish(key, RunOutcome.LOST) for key in keys]
         return [each for each in finished if each is not None]
 
-    def _finish(self, key: RunKey, how: How) -> Finished | None:
+    def _finish(self, key: RunKey, how: RunOutcome) -> Finished | None:
         run = self.runs.pop(key, None)
         if run is None:
             return None
--- a/src/gentianmux/leased/run_watch.py
+++ b/src/gentianmux/leased/run_watch.py
@@ -1,7 +1,7 @@
 """Watches how the runs at an agent's endpoint fare, and stops those that will not end well."""
 
 from .agent_context import AgentContext
-from .model import How
+from .model import RunOutcome
 from .progress import SLOW_FACTOR
 from .run_stops import RunStops
 from .run_table import Phase, Run
@@ -39,7 +39,7 @@
         stalled = [run for run in running if run.progress.is_stalled(now)]
         for run in stalled:
             self._stops.stop(
-                run.key, How.STALLED, f"no progress beyond {run.progress.percent:.0f} %"
+                run.key, RunOutcome.STALLED, f"no progress beyond {run.progress.percent:.0f} %"
             )
         if stalled:
             self._ctx.metrics.count("runs_stalled", len(stalled))
@@ -63,4 +63,6 @@
             heading_ms = run.progress.heading_for_ms(now) or float(run.estimate_ms)
             left_s = heading_ms / 1000 - (now - run.began)
             if run.phase is Phase.RUNNING and left_s > remaining_s + MOVE_ON_DRAIN_S:
-                self._stops.stop(run.key, How.STOPPED, "the endpoint leaves before it would end")
+                self._stops.stop(
+                    run.key, RunOutcome.STOPPED, "the endpoint leaves before it would end"
+                )
--- a/src/gentianmux/log_watch.py
+++ b/src/gentianmux/log_watch.py
@@ -3,7 +3,7 @@
 from loguru import logger
 
 from . import config_state, fleet_state
-from .board import Board
+from .board import NodeContext
 from .errors import LogError
 from .fleet_records import Leave, to_json
 from .follower import Follower
@@ -21,11 +21,11 @@
 
     Parameters
     ----------
-    ctx : Board
+    ctx : NodeContext
         The blackboard; this puts itself there as ``watch``.
     """
 
-    def __init__(self, ctx: Board) -> None:
+    def __init__(self, ctx: NodeContext) -> None:
         ctx.watch = self
         self._ctx = ctx
         self.followers = {
--- a/src/gentianmux/messages.py
+++ b/src/gentianmux/messages.py
@@ -390,7 +390,7 @@
 
 
 class EndedRun(NamedTuple):
-    """How one run left an agent; ``how`` is a ``leased.model.How``."""
+    """How one run left an agent; ``how`` is a ``leased.model.RunOutcome``."""
 
     number: int
     task: str
--- a/src/gentianmux/node.py
+++ b/src/gentianmux/node.py
@@ -6,7 +6,7 @@
 from gevent import Greenlet
 from loguru import logger
 
-from .board import Board
+from .board import NodeContext
 from .caller_api import CallerApi
 from .coordinator import Coordinator
 from .dispatcher import Dispatcher
@@ -63,7 +63,7 @@
     """
 
     def __init__(self, cfg: Settings, log: PlatformLog | None = None) -> None:
-        self.ctx = Board(cfg, announce(cfg), log or HttpLog(cfg.log_url))
+        self.ctx = NodeContext(cfg, announce(cfg), log or HttpLog(cfg.log_url))
         self.peers = Peers(self.ctx, handle, lambda name, conn: on_lost(name, conn, self.ctx))
         self.gossip = GossipServer(self.ctx)
         self.watch = LogWatch(self.ctx)
--- a/src/gentianmux/peers.py
+++ b/src/gentianmux/peers.py
@@ -9,7 +9,7 @@
 from gevent.server import StreamServer
 from loguru import logger
 
-from .board import Board
+from .board import NodeContext
 from .codec import decode, encode
 from .codes import ResultCode
 from .conn import Conn, quietly, receive, tune
@@ -20,7 +20,7 @@
 CONNECT_TIMEOUT_S = 1.0
 HELLO_TIMEOUT_S = 2.0
 
-Handler = Callable[[Message, Board, str], None]
+Handler = Callable[[Message, NodeContext, str], None]
 
 
 class Peers:
@@ -28,7 +28,7 @@
 
     Parameters
     ----------
-    ctx : Board
+    ctx : NodeContext
         The blackboard; this puts itself there as ``peers``.
     handle : callable
         Called with each message, the board and the sending process; must not block.
@@ -40,7 +40,9 @@
     ``ctx.peers.send("w1.1764690000000", msg)`` queues the message and returns at once.
     """
 
-    def __init__(self, ctx: Board, handle: Handler, on_lost: Callable[[str, Conn], None]) -> None:
+    def __init__(
+        self, ctx: NodeContext, handle: Handler, on_lost: Callable[[str, Conn], None]
+    ) -> None:
         ctx.peers = self
         self._ctx = ctx
         self._handle = handle
--- a/src/gentianmux/placement.py
+++ b/src/gentianmux/placement.py
@@ -3,7 +3,7 @@
 from collections import defaultdict
 from collections.abc import Iterable, Iterator
 
-from .board import Board
+from .board import NodeContext
 from .codes import ResultCode
 from .fleet_records import Join
 from .job import Job
@@ -29,11 +29,11 @@
 
     Parameters
     ----------
-    ctx : Board
+    ctx : NodeContext
         The blackboard; this puts itself there as ``placement``.
     """
 
-    def __init__(self, ctx: Board) -> None:
+    def __init__(self, ctx: NodeContext) -> None:
         ctx.placement = self
         self.loads: dict[str, AgentLoad] = defaultdict(AgentLoad)
         self.backlog: dict[str, Job] = {}
--- a/src/gentianmux/platform/endpoint.py
+++ b/src/gentianmux/platform/endpoint.py
@@ -14,8 +14,8 @@
     EndpointReport,
     EndpointStartedAgain,
     HoldReply,
-    How,
     NoAnswer,
+    RunOutcome,
     StartVerdict,
 )
 from ..leased.resources import Resources
@@ -51,12 +51,12 @@
 _STATES = ("ready", "draining")
 
 _HOW = {
-    "done": How.DONE,
-    "failed": How.FAILED,
-    "stopped": How.STOPPED,
-    "lapsed": How.LOST,
-    "broken": How.STOPPED,
-    "alone": How.STOPPED,
+    "done": RunOutcome.DONE,
+    "failed": RunOutcome.FAILED,
+    "stopped": RunOutcome.STOPPED,
+    "lapsed": RunOutcome.LOST,
+    "broken": RunOutcome.STOPPED,
+    "alone": RunOutcome.STOPPED,
 }
 
 _REFUSED = {
@@ -278,7 +278,7 @@
         # A row's third field is its checkpoint; no job served here asks for any.
         active = tuple(ActiveRun(str(r[0]), int(r[1]), float(r[3])) for r in content["active"])
         ended = tuple(
-            EndedRow(int(r[0]), str(r[1]), int(r[2]), _HOW.get(r[3], How.STOPPED))
+            EndedRow(int(r[0]), str(r[1]), int(r[2]), _HOW.get(r[3], RunOutcome.STOPPED))
             for r in content["ended_runs"]
         )
     except (KeyError, TypeError, ValueError, IndexError) as exc:
--- a/src/gentianmux/shard_keeper.py
+++ b/src/gentianmux/shard_keeper.py
@@ -7,7 +7,7 @@
 import gevent
 from loguru import logger
 
-from .board import Board
+from .board import NodeContext
 from .codes import ResultCode
 from .errors import LogError
 from .fleet_records import Claim, FleetRecord, Handover, HeirChange, ShardChange, TakeOver, to_json
@@ -53,11 +53,11 @@
 
     Parameters
     ----------
-    ctx : Board
+    ctx : NodeContext
         The blackboard; this puts itself there as ``keeper``.
     """
 
-    def __init__(self, ctx: Board) -> None:
+    def __init__(self, ctx: NodeContext) -> None:
         ctx.keeper = self
         self.owned: dict[int, OwnedShard] = {}
         self.heir_of: dict[int, tuple[Shard, HeirLease]] = {}
@@ -313,7 +313,7 @@
     def revoke_soon(self, agent: str, key: str) -> None:
         """Revoke a job's tasks at an agent, together with others of the next moments."""
         if not self._revokes[agent]:
-            self._ctx.clock.later(REVOKE_WINDOW_S, self._send_revokes, agent)
+            self._ctx.clock.call_later(REVOKE_WINDOW_S, self._send_revokes, agent)
         self._revokes[agent].append(key)
 
     def _send_revokes(self, agent: str) -> None:
--- a/src/gentianmux/shard_moves.py
+++ b/src/gentianmux/shard_moves.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, NamedTuple
 
-from .board import Board
+from .board import NodeContext
 from .fleet_records import Handover, ShardChange
 from .fleet_state import NOBODY, Shard
 from .ledger import Ledger, LedgerBounds
@@ -32,13 +32,13 @@
 
     Parameters
     ----------
-    ctx : Board
+    ctx : NodeContext
         The blackboard.
     keeper : ShardKeeper
         The shards that this agent owns.
     """
 
-    def __init__(self, ctx: Board, keeper: "ShardKeeper") -> None:
+    def __init__(self, ctx: NodeContext, keeper: "ShardKeeper") -> None:
         self._ctx = ctx
         self._keeper = keeper
         self._incoming: dict[int, Incoming] = {}
@@ -90,11 +90,11 @@
         if self._keeper.owned.get(number) is not owned or owned.move != move:
             return
         if owned.ledger.has_running():
-            self._ctx.clock.later(MOVE_POLL_S, self._send_ledger, number, owned, row, move)
+            self._ctx.clock.call_later(MOVE_POLL_S, self._send_ledger, number, owned, row, move)
             return
         for part in _handover_parts(number, row.base, self._ctx.process, owned):
             self._ctx.peers.send(owned.moving_to, part)
-        self._ctx.clock.later(MOVE_REPLY_S, self._check_reply, owned, move)
+        self._ctx.clock.call_later(MOVE_REPLY_S, self._check_reply, owned, move)
 
     def _check_reply(self, owned: "OwnedShard", move: int) -> None:
         # Nothing is appended before the reply, so a move without one can be called off.
--- a/src/gentianmux/traces.py
+++ b/src/gentianmux/traces.py
@@ -3,7 +3,7 @@
 from collections import defaultdict
 from typing import NamedTuple
 
-from .board import Board
+from .board import NodeContext
 from .codes import ResultCode
 from .fleet_state import Shard
 from .ids import NO_TIME
@@ -37,11 +37,11 @@
 
     Parameters
     ----------
-    ctx : Board
+    ctx : NodeContext
         The blackboard.
     """
 
-    def __init__(self, ctx: Board) -> None:
+    def __init__(self, ctx: NodeContext) -> None:
         self._ctx = ctx
         self._gathering: dict[int, dict[str, list[_Parked]]] = {}
         self._questions: dict[int, _Question] = {}
@@ -64,7 +64,7 @@
         shard = self._ctx.shard_of(msg.key)
         if shard not in self._gathering:
             self._gathering[shard] = {}
-            self._ctx.clock.later(GATHER_S, self._send, shard)
+            self._ctx.clock.call_later(GATHER_S, self._send, shard)
         self._gathering[shard][msg.key] = line
 
     def _send(self, shard: int) -> None:
@@ -81,7 +81,7 @@
         query = TraceQuery(number, shard, question.epoch, list(lines))
         for agent in agents:
             ctx.peers.send(agent, query)
-        ctx.clock.later(WAIT_S, self._rule, number)
+        ctx.clock.call_later(WAIT_S, self._rule, number)
 
     def on_reply(self, reply: TraceReply) -> None:
         """Take in one agent's answer."""
--- a/src/gentianmux/witness.py
+++ b/src/gentianmux/witness.py
@@ -1,6 +1,6 @@
 """Looks for proof that silent processes have ended, and puts it into the log."""
 
-from .board import Board
+from .board import NodeContext
 from .errors import LogError
 from .fleet_records import Evict, to_json
 from .fleet_state import STREAM
@@ -22,11 +22,11 @@
 
     Parameters
     ----------
-    ctx : Board
+    ctx : NodeContext
         The blackboard; this puts itself there as ``witness``.
     """
 
-    def __init__(self, ctx: Board) -> None:
+    def __init__(self, ctx: NodeContext) -> None:
         ctx.witness = self
         self._ctx = ctx
         self._evicted: dict[str, float] = {}
@@ -45,7 +45,7 @@
             ctx.keeper.on_ended(process)
             self._evict(process)
         elif self._is_chosen(process):
-            ctx.clock.later(LATER_S, self._evict, process)
+            ctx.clock.call_later(LATER_S, self._evict, process)
 
     def _evict(self, process: str) -> None:
         now = self._ctx.now()
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -16,7 +16,7 @@
 from gentianmux.leased.candidates import Candidates
 from gentianmux.leased.fleet_view import AgentView, FleetView, Wish
 from gentianmux.leased.job_state import JobState, Prospect
-from gentianmux.leased.model import How, JobSpec, QueueRules, StepSpec
+from gentianmux.leased.model import JobSpec, QueueRules, RunOutcome, StepSpec
 from gentianmux.leased.resources import Resources
 from gentianmux.messages import AgentLoad, EndpointState
 
@@ -35,7 +35,7 @@
         one.assign(one.ready()[0], "w0", "x0", 1.0)
     elif one.out():
         task = one.out()[0]
-        one.ended(task.name, task.run, How.NO_ROOM)
+        one.ended(task.name, task.run, RunOutcome.NO_ROOM)
     else:
         one.prospect = Prospect.LATE
 
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -36,8 +36,8 @@
     EndpointReport,
     EndpointStartedAgain,
     HoldReply,
-    How,
     NoAnswer,
+    RunOutcome,
     StartVerdict,
     StepSpec,
 )
@@ -404,12 +404,12 @@
 
 def test_the_ends_of_a_later_life_count_anew() -> None:
     table = table_with("a")
-    table.looked_at(HoldReply(1.0, (), (EndedRow(50, "z", 1, How.DONE),)), 1.0)
+    table.looked_at(HoldReply(1.0, (), (EndedRow(50, "z", 1, RunOutcome.DONE),)), 1.0)
     assert table.acknowledged == 50
     table.turn_over()
     table.started(("a", 1), 1.1)
-    (done,) = table.looked_at(HoldReply(1.2, (), (EndedRow(1, "a", 1, How.DONE),)), 1.2)
-    assert (done.run.key, done.how) == (("a", 1), How.DONE)
+    (done,) = table.looked_at(HoldReply(1.2, (), (EndedRow(1, "a", 1, RunOutcome.DONE),)), 1.2)
+    assert (done.run.key, done.how) == (("a", 1), RunOutcome.DONE)
     assert table.acknowledged == 1
 
 
@@ -419,7 +419,9 @@
     table.looked_at(HoldReply(1.1, (ActiveRun("seen", 1, 10.0),), ()), 1.1)
     table.started(("confirmed", 1), 1.1)
     table.unanswered(("doubtful", 1), 1.1)
-    assert [(done.run.key[0], done.how) for done in table.turn_over()] == [("seen", How.LOST)]
+    assert [(done.run.key[0], done.how) for done in table.turn_over()] == [
+        ("seen", RunOutcome.LOST)
+    ]
     assert table.room.free == Resources(8000 - 2 * 1600, 800 - 2 * 64)
     assert not table.is_clean
     active = (ActiveRun("confirmed", 1, 5.0),)
@@ -428,7 +430,7 @@
     table.stop_confirmed(("doubtful", 1), 1.35)
     (gone,) = table.looked_at(HoldReply(1.4, active, ()), 1.4)
     # It may have run in the earlier life: that it did nothing is not proved.
-    assert (gone.run.key[0], gone.how) == ("doubtful", How.LOST)
+    assert (gone.run.key[0], gone.how) == ("doubtful", RunOutcome.LOST)
     assert list(table.runs) == [("confirmed", 1)]
 
 
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -9,7 +9,7 @@
 from bench.leased_world import World
 from gentianmux.leased.evacuations import EvacuationFeed, Evacuations
 from gentianmux.leased.job_state import Outcome
-from gentianmux.leased.model import How
+from gentianmux.leased.model import RunOutcome
 from gentianmux.messages import EndedRuns, Evacuated
 from gentianmux.metrics import Metrics
 from gentianmux.settings import Settings
@@ -121,7 +121,7 @@
         each.agent.on_message(Evacuated(9, ["fd1"]), world.process_of("e1"))
     world.run(1.0)
     rows = [row for msg in sent if isinstance(msg, EndedRuns) for row in msg.runs]
-    assert rows and {How(row.how) for row in rows} == {How.DRAINING}
+    assert rows and {RunOutcome(row.how) for row in rows} == {RunOutcome.DRAINING}
     assert begun_in(world, "fd1") == 0
     assert {job.ticket.verdict.outcome for job in jobs} == {Outcome.COMPLETED}
 
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -15,7 +15,7 @@
 from gentianmux.leased.grants import GRANT_S, LATE_RESERVE, PASS_OVER_S, Grants, split
 from gentianmux.leased.job_state import JobState, Prospect
 from gentianmux.leased.model import JobSpec, QueueRules, StepSpec
-from gentianmux.leased.resources import NO_ROOM, Resources
+from gentianmux.leased.resources import NO_RESOURCES, Resources
 from gentianmux.messages import Claim
 
 ENTRIES = ["e1", "e2", "e3"]
@@ -133,7 +133,7 @@
     assert offered(grants) == {"e1": 4000, "e2": 4000, "e3": 4000}
     grants.task_cpu = 1500
     assert offered(grants) == {"e1": 2500, "e2": 1500, "e3": 0}
-    assert split(NO_ROOM, 3, 1500) == [NO_ROOM] * 3
+    assert split(NO_RESOURCES, 3, 1500) == [NO_RESOURCES] * 3
 
 
 @given(
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -23,7 +23,7 @@
 from gentianmux.leased.fleet_view import LOOKED_AT, FleetView, Wish
 from gentianmux.leased.health import FAILED_IN_A_ROW, EndpointHealth
 from gentianmux.leased.job_state import JobState, Phase, Prospect
-from gentianmux.leased.model import How, JobSpec, QueueRules, StepSpec
+from gentianmux.leased.model import JobSpec, QueueRules, RunOutcome, StepSpec
 from gentianmux.leased.progress import STALL_S, Progress
 from gentianmux.leased.resources import Resources, RoomAccount
 from gentianmux.leased.settings import LeasedSettings, lease_s
@@ -163,12 +163,21 @@
     assert names == [f"{'a' * 16}.0.0.0", f"{'a' * 16}.0.0.1"]
     for task in list(state.ready()):
         state.assign(task, "w", "x", 0.0)
-        state.ended(task.name, task.run, How.DONE)
+        state.ended(task.name, task.run, RunOutcome.DONE)
     assert [task.step for task in state.ready()] == [1]
 
 
-@pytest.mark.parametrize("how", [How.NO_ROOM, How.NOT_STARTED, How.OLD_RUN, How.LOST, How.STALLED])
-def test_only_failed_runs_count_as_attempts(how: How) -> None:
+@pytest.mark.parametrize(
+    "how",
+    [
+        RunOutcome.NO_ROOM,
+        RunOutcome.NOT_STARTED,
+        RunOutcome.OLD_RUN,
+        RunOutcome.LOST,
+        RunOutcome.STALLED,
+    ],
+)
+def test_only_failed_runs_count_as_attempts(how: RunOutcome) -> None:
     state = job(tasks=1)
     for _ in range(10):
         (task,) = state.ready()
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -13,7 +13,7 @@
 
 from gentianmux.codes import ResultCode
 from gentianmux.errors import GentianmuxError, LogError
-from gentianmux.leased.model import EndpointGone, How, NoAnswer, StartVerdict
+from gentianmux.leased.model import EndpointGone, NoAnswer, RunOutcome, StartVerdict
 from gentianmux.leased.resources import Resources
 from gentianmux.platform.callers import read_job
 from gentianmux.platform.config import decode_config
@@ -214,7 +214,7 @@
         assert driver.start("t", 1, SPEC, 0.5, monotonic()) is StartVerdict.STARTED
         assert [run.task for run in driver.hold(0, 0.0, 0.5, 1.0).active] == ["t"]
         ended = driver.hold(0, 1.0, 0.5, 2.0).ended
-        assert [(row.task, row.how) for row in ended] == [("t", How.DONE)]
+        assert [(row.task, row.how) for row in ended] == [("t", RunOutcome.DONE)]
         assert driver.hold(ended[0].number, 0.0, 0.5, 1.0).ended == ()
         assert driver.start("t", 1, SPEC, 0.5, monotonic()) is StartVerdict.OLD_RUN
 
@@ -279,4 +279,4 @@
         driver.start("t", 1, json.dumps({"ms": 5000}), 0.3, monotonic())
         gevent.sleep(0.5)
         (row,) = driver.hold(0, 0.0, 0.0, 1.0).ended
-        assert row.how is How.LOST
+        assert row.how is RunOutcome.LOST
