--- a/bench/leased_endpoint.py
+++ b/bench/leased_endpoint.py
@@ -13,7 +13,7 @@
     HoldReply,
     NoAnswer,
     RunOutcome,
-    StartVerdict,
+    StartResult,
 )
 from gentianmux.leased.resources import NO_RESOURCES, Resources
 
@@ -139,7 +139,7 @@
 
     def begin(
         self, task: str, run: int, fence: int, until: float, late: bool = False
-    ) -> StartVerdict:
+    ) -> StartResult:
         """Carry out a start; one that is carried out late runs under the lease that looks renewed.
 
         Where none did, its own lease is over, and so is any run that it could begin.
@@ -148,14 +148,14 @@
         now = self.world.time
         latest = max(until, self.lease_until) if late else until
         if fence < self.fence or latest < now:
-            return StartVerdict.REFUSED
+            return StartResult.REFUSED
         self.fence = fence
         if (task, run) in self.active:
-            return StartVerdict.STARTED
+            return StartResult.STARTED
         if run <= self.stopped_runs.get(task, 0):
-            return StartVerdict.OLD_RUN
+            return StartResult.OLD_RUN
         if self.unhealthy:
-            return StartVerdict.UNHEALTHY
+            return StartResult.UNHEALTHY
         step, work = self.world.works[task]
         self.world.note_start(self, task, late)
         self.lease_until = max(self.lease_until, min(until, now + LONGEST_LEASE_S))
@@ -169,7 +169,7 @@
             self.world.at(0.01, "", self.advance)
         elif self.speed:
             self.world.at(work.run_s / self.speed + 0.0001, "", self.advance)
-        return StartVerdict.STARTED
+        return StartResult.STARTED
 
 
 class ConnectionBroken(NoAnswer):
@@ -221,23 +221,23 @@
 
     def start(
         self, task: str, run: int, payload: str, lease: float, asked_at: float
-    ) -> StartVerdict:
+    ) -> StartResult:
         until = self._until(lease)
         try:
             endpoint = self._there()
         except EndpointGone:
-            return StartVerdict.REPLACED
+            return StartResult.REPLACED
         except NoAnswer:
-            return StartVerdict.NO_ANSWER
+            return StartResult.NO_ANSWER
         if endpoint.late_orders:
             endpoint.late_orders -= 1
             order = (task, run, self._fence, until, True)
             self._world.at(endpoint.late_by, "", endpoint.begin, *order)
-            return StartVerdict.NO_ANSWER
+            return StartResult.NO_ANSWER
         verdict = endpoint.begin(task, run, self._fence, until)
         if endpoint.lose_answers:
             endpoint.lose_answers -= 1
-            return StartVerdict.NO_ANSWER
+            return StartResult.NO_ANSWER
         return verdict
 
     def stop(self, task: str, run: int) -> bool:
--- a/bench/world.py
+++ b/bench/world.py
@@ -9,7 +9,6 @@
 from typing import Any, ClassVar
 
 from bench.check import Given, Start, Violation, violations
-from gentianmux.board import NodeContext
 from gentianmux.clock import Clock
 from gentianmux.codes import ResultCode
 from gentianmux.coordinator import Coordinator
@@ -26,6 +25,7 @@
 from gentianmux.memory_log import MemoryLog, Record
 from gentianmux.messages import Answer, MemberUpdate, Message, Submit, Task
 from gentianmux.node import announce
+from gentianmux.node_context import NodeContext
 from gentianmux.placement import Placement
 from gentianmux.settings import Settings
 from gentianmux.shard_keeper import ShardKeeper
--- a/src/gentianmux/caller_api.py
+++ b/src/gentianmux/caller_api.py
@@ -8,7 +8,6 @@
 
 from loguru import logger
 
-from .board import NodeContext
 from .codes import ResultCode
 from .coordinator import REQUEST_MARK
 from .dispatcher import Reply
@@ -17,6 +16,7 @@
 from .ids import NO_TIME, check_id, job_key, new_id
 from .limits import MemberLimits
 from .messages import Submit
+from .node_context import NodeContext
 from .submission import Submission, digest_of, read_job, read_request
 
 StartResponse = Callable[..., Any]
--- a/src/gentianmux/coordinator.py
+++ b/src/gentianmux/coordinator.py
@@ -3,7 +3,6 @@
 import gevent
 from loguru import logger
 
-from .board import NodeContext
 from .budget import RetryBudget
 from .codes import ResultCode
 from .errors import GentianmuxError
@@ -22,6 +21,7 @@
     TaskResult,
     Trace,
 )
+from .node_context import NodeContext
 from .submission import TaskSpec, read_job, read_request
 
 RETRY_S = 0.05
--- a/src/gentianmux/dispatcher.py
+++ b/src/gentianmux/dispatcher.py
@@ -5,9 +5,9 @@
 import gevent
 from gevent.event import AsyncResult
 
-from .board import NodeContext
 from .codes import ResultCode
 from .messages import Answer, Cancel, Explain, Query, Submit
+from .node_context import NodeContext
 
 RETRY_S = 0.05
 PATIENCE_S = 5.0
--- a/src/gentianmux/executor.py
+++ b/src/gentianmux/executor.py
@@ -7,7 +7,6 @@
 import gevent
 from loguru import logger
 
-from .board import NodeContext
 from .codes import ResultCode
 from .endpoint_client import EndpointClient, Run, task_name
 from .fair_queue import FairQueue
@@ -26,6 +25,7 @@
     TraceQuery,
     TraceReply,
 )
+from .node_context import NodeContext
 from .start_records import JobRecord, StartRecords, TaskRecord
 
 DEFAULT_COST_MS = 300.0
--- a/src/gentianmux/gossip.py
+++ b/src/gentianmux/gossip.py
@@ -5,12 +5,12 @@
 import gevent
 from gevent.server import DatagramServer
 
-from .board import NodeContext
 from .codec import decode, encode
 from .errors import FrameError
 from .frames import seal, unseal
 from .membership import Outgoing
 from .messages import Gossip
+from .node_context import NodeContext
 
 MAX_DATAGRAM = 1400
 SEED_EVERY_TICKS = 4
--- a/src/gentianmux/handlers.py
+++ b/src/gentianmux/handlers.py
@@ -4,7 +4,6 @@
 
 from loguru import logger
 
-from .board import NodeContext
 from .codes import ResultCode
 from .conn import Conn
 from .job import Waiter
@@ -34,6 +33,7 @@
     TraceQuery,
     TraceReply,
 )
+from .node_context import NodeContext
 
 
 @singledispatch
--- a/src/gentianmux/leased/model.py
+++ b/src/gentianmux/leased/model.py
@@ -127,7 +127,7 @@
     born: int = 0
 
 
-class StartVerdict(Enum):
+class StartResult(Enum):
     """What an endpoint said to a start."""
 
     STARTED = "started"
@@ -221,7 +221,7 @@
 
     def start(
         self, task: str, run: int, payload: str, lease_s: float, asked_at: float
-    ) -> StartVerdict:
+    ) -> StartResult:
         """Start a run under a lease that counts from ``asked_at``, monotonic; never raises.
 
         The endpoint refuses a start that reaches it after that lease, so a process that stood
--- a/src/gentianmux/leased/resources.py
+++ b/src/gentianmux/leased/resources.py
@@ -46,12 +46,12 @@
 NO_RESOURCES = Resources()
 
 
-class RoomAccount:
+class ResourcePool:
     """Room of one endpoint: taken before a start, given back only once the run is gone.
 
     Examples
     --------
-    >>> account = RoomAccount(Resources(2000, 100))
+    >>> account = ResourcePool(Resources(2000, 100))
     >>> account.take(("a", 1), Resources(1600, 64))
     True
     >>> account.take(("b", 1), Resources(1600, 64))
--- a/src/gentianmux/leased/run_starts.py
+++ b/src/gentianmux/leased/run_starts.py
@@ -4,7 +4,7 @@
 
 from ..messages import LeasedTask
 from .agent_context import AgentContext, job_of
-from .model import RunOutcome, StartVerdict
+from .model import RunOutcome, StartResult
 from .resources import Resources
 from .run_stops import RunStops
 from .run_table import RunKey
@@ -17,11 +17,11 @@
 """Seconds between looks for that; a stop takes up to 50 ms."""
 
 _NOT_RUN = {
-    StartVerdict.OLD_RUN: RunOutcome.OLD_RUN,
-    StartVerdict.NO_ROOM: RunOutcome.NO_ROOM,
-    StartVerdict.UNHEALTHY: RunOutcome.NOT_STARTED,
-    StartVerdict.REFUSED: RunOutcome.NOT_STARTED,
-    StartVerdict.REPLACED: RunOutcome.NOT_STARTED,
+    StartResult.OLD_RUN: RunOutcome.OLD_RUN,
+    StartResult.NO_ROOM: RunOutcome.NO_ROOM,
+    StartResult.UNHEALTHY: RunOutcome.NOT_STARTED,
+    StartResult.REFUSED: RunOutcome.NOT_STARTED,
+    StartResult.REPLACED: RunOutcome.NOT_STARTED,
 }
 
 
@@ -122,10 +122,10 @@
             return
         verdict = self._ctx.driver.start(task.name, task.run, payload, self._ctx.lease_s, now)
         now = self._ctx.clock.now()
-        if verdict is StartVerdict.STARTED:
+        if verdict is StartResult.STARTED:
             self._ctx.table.started(key, now)
             return
-        if verdict is StartVerdict.NO_ANSWER:
+        if verdict is StartResult.NO_ANSWER:
             logger.bind(task=task.name, run=task.run).warning("a start was not answered")
             self._ctx.metrics.count("starts_unanswered")
             self._ctx.table.unanswered(key, now)
@@ -133,7 +133,7 @@
             self._stops.stop_due()
             return
         logger.bind(task=task.name, run=task.run, verdict=verdict.value).warning("start refused")
-        if verdict is StartVerdict.UNHEALTHY:
+        if verdict is StartResult.UNHEALTHY:
             self._ctx.health.ended(job_of(task.name), True, None, now)
         self._end_unstarted(key, _NOT_RUN[verdict])
 
--- a/src/gentianmux/leased/run_table.py
+++ b/src/gentianmux/leased/run_table.py
@@ -7,7 +7,7 @@
 
 from .model import HoldReply, RunOutcome
 from .progress import Progress
-from .resources import Resources, RoomAccount
+from .resources import ResourcePool, Resources
 
 RunKey = tuple[str, int]
 """A task's name and the number of its run."""
@@ -85,7 +85,7 @@
 
     def __init__(self) -> None:
         self.runs: dict[RunKey, Run] = {}
-        self.room = RoomAccount()
+        self.room = ResourcePool()
         self.acknowledged = 0
         self.foreign: set[RunKey] = set()
         self.looked = False
@@ -94,7 +94,7 @@
     def reset(self, capacity: Resources) -> None:
         """Begin with another life of the endpoint, which runs nothing of ours."""
         self.runs.clear()
-        self.room = RoomAccount(capacity)
+        self.room = ResourcePool(capacity)
         self.acknowledged = 0
         self.foreign = set()
         self.looked = False
--- a/src/gentianmux/log_watch.py
+++ b/src/gentianmux/log_watch.py
@@ -3,13 +3,13 @@
 from loguru import logger
 
 from . import config_state, fleet_state
-from .board import NodeContext
 from .errors import LogError
 from .fleet_records import Leave, to_json
 from .follower import Follower
 from .membership import Versions
 from .memory_log import Record
 from .messages import LogRecord, StateBody, StatePull
+from .node_context import NodeContext
 from .shard_keeper import rendezvous
 
 ANNOUNCE_AGAIN_S = 2.0
--- a/src/gentianmux/node.py
+++ b/src/gentianmux/node.py
@@ -6,7 +6,6 @@
 from gevent import Greenlet
 from loguru import logger
 
-from .board import NodeContext
 from .caller_api import CallerApi
 from .coordinator import Coordinator
 from .dispatcher import Dispatcher
@@ -18,6 +17,7 @@
 from .log_client import HttpLog
 from .log_watch import LogWatch
 from .memory_log import PlatformLog
+from .node_context import NodeContext
 from .peers import Peers
 from .placement import Placement
 from .settings import Settings
--- a/src/gentianmux/peers.py
+++ b/src/gentianmux/peers.py
@@ -9,13 +9,13 @@
 from gevent.server import StreamServer
 from loguru import logger
 
-from .board import NodeContext
 from .codec import decode, encode
 from .codes import ResultCode
 from .conn import Conn, quietly, receive, tune
 from .errors import FrameError
 from .frames import pack, split_frames
 from .messages import PROTOCOL_VERSION, Hello, Message
+from .node_context import NodeContext
 
 CONNECT_TIMEOUT_S = 1.0
 HELLO_TIMEOUT_S = 2.0
--- a/src/gentianmux/placement.py
+++ b/src/gentianmux/placement.py
@@ -3,11 +3,11 @@
 from collections import defaultdict
 from collections.abc import Iterable, Iterator
 
-from .board import NodeContext
 from .codes import ResultCode
 from .fleet_records import Join
 from .job import Job
 from .messages import Decline, Offer, Reserve, StartBatch, StartHow
+from .node_context import NodeContext
 from .routing import QUEUE_PER_SLOT, AgentHealth, AgentLoad, Candidate, choose, reserve_at
 from .rules import WorkerItem
 from .submission import Size, TaskSpec, fits, needs_of
--- a/src/gentianmux/platform/endpoint.py
+++ b/src/gentianmux/platform/endpoint.py
@@ -16,7 +16,7 @@
     HoldReply,
     NoAnswer,
     RunOutcome,
-    StartVerdict,
+    StartResult,
 )
 from ..leased.resources import Resources
 from ..typed_json import number, read_object, table, text, texts, whole
@@ -60,8 +60,8 @@
 }
 
 _REFUSED = {
-    "old": StartVerdict.OLD_RUN,
-    "room": StartVerdict.NO_ROOM,
+    "old": StartResult.OLD_RUN,
+    "room": StartResult.NO_ROOM,
 }
 
 
@@ -171,28 +171,28 @@
 
     def start(
         self, task: str, run: int, payload: str, lease_s: float, asked_at: float
-    ) -> StartVerdict:
+    ) -> StartResult:
         """Start a run under a lease that counts from ``asked_at``."""
         until_ms = self._until(lease_s, asked_at)
         content = {"task": task, "run": run, "spec": payload, "until_ms": until_ms}
         try:
             reply = self._call(self._orders, "/v1/run-start", content, START_S)
             if reply.status == 200:
-                return StartVerdict.STARTED
+                return StartResult.STARTED
             if reply.status == REPLACED:
-                return StartVerdict.REPLACED
+                return StartResult.REPLACED
             if reply.status in (429, 503):
-                return StartVerdict.UNHEALTHY
+                return StartResult.UNHEALTHY
             if reply.status == 400:
-                return StartVerdict.REFUSED
+                return StartResult.REFUSED
             if reply.status == 409:
                 reason = str(reply.json().get("reason"))
-                return _REFUSED.get(reason, StartVerdict.REFUSED)
+                return _REFUSED.get(reason, StartResult.REFUSED)
         except NoAnswer as exc:
             logger.bind(task=task, run=run, reason=str(exc)).debug("no answer to a start")
-            return StartVerdict.NO_ANSWER
+            return StartResult.NO_ANSWER
         logger.bind(task=task, run=run, status=reply.status).warning("foreign answer to a start")
-        return StartVerdict.NO_ANSWER
+        return StartResult.NO_ANSWER
 
     def stop(self, task: str, run: int) -> bool:
         """Stop a run, present or still on its way; whether the endpoint confirmed it."""
--- a/src/gentianmux/shard_keeper.py
+++ b/src/gentianmux/shard_keeper.py
@@ -7,7 +7,6 @@
 import gevent
 from loguru import logger
 
-from .board import NodeContext
 from .codes import ResultCode
 from .errors import LogError
 from .fleet_records import Claim, FleetRecord, Handover, HeirChange, ShardChange, TakeOver, to_json
@@ -25,6 +24,7 @@
     Submit,
     TraceReply,
 )
+from .node_context import NodeContext
 from .shard_moves import ShardMoves
 from .traces import TraceCollector
 
--- a/src/gentianmux/shard_moves.py
+++ b/src/gentianmux/shard_moves.py
@@ -3,11 +3,11 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, NamedTuple
 
-from .board import NodeContext
 from .fleet_records import Handover, ShardChange
 from .fleet_state import NOBODY, Shard
 from .ledger import Ledger, LedgerBounds
 from .messages import HandoverReply, LedgerEntry, LedgerHandover
+from .node_context import NodeContext
 
 if TYPE_CHECKING:
     from .shard_keeper import OwnedShard, ShardKeeper
--- a/src/gentianmux/traces.py
+++ b/src/gentianmux/traces.py
@@ -3,13 +3,13 @@
 from collections import defaultdict
 from typing import NamedTuple
 
-from .board import NodeContext
 from .codes import ResultCode
 from .fleet_state import Shard
 from .ids import NO_TIME
 from .job import Waiter
 from .ledger import Ruling, Verdict
 from .messages import Submit, Trace, TraceQuery, TraceReply
+from .node_context import NodeContext
 from .start_records import may_have_forgotten
 
 GATHER_S = 0.005
--- a/src/gentianmux/witness.py
+++ b/src/gentianmux/witness.py
@@ -1,11 +1,11 @@
 """Looks for proof that silent processes have ended, and puts it into the log."""
 
-from .board import NodeContext
 from .errors import LogError
 from .fleet_records import Evict, to_json
 from .fleet_state import STREAM
 from .membership import State
 from .messages import MemberUpdate
+from .node_context import NodeContext
 from .shard_keeper import rendezvous
 
 WITNESSES = 2
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -38,7 +38,7 @@
     HoldReply,
     NoAnswer,
     RunOutcome,
-    StartVerdict,
+    StartResult,
     StepSpec,
 )
 from gentianmux.leased.payloads import pack
@@ -465,7 +465,7 @@
         assert driver.is_present(report_of(app)._replace(born=app.born - 9)) is False
         driver.attach(report_of(app))
         assert driver.hold(0, 0.0, 0.5, 1.0).active == ()
-        assert driver.start("t", 1, SPEC, 0.5, monotonic()) is StartVerdict.STARTED
+        assert driver.start("t", 1, SPEC, 0.5, monotonic()) is StartResult.STARTED
         assert [run.task for run in driver.hold(0, 0.0, 0.5, 1.0).active] == ["t"]
 
 
@@ -507,7 +507,7 @@
         driver.hold(0, 0.0, 0.0, 1.0)
         # Sent 0.4 s after it was decided, under a lease of 0.2 s: refused as late.
         verdict = driver.start("t", 2, SPEC, 0.2, monotonic() - 0.4)
-        assert verdict is StartVerdict.REFUSED
+        assert verdict is StartResult.REFUSED
 
 
 def test_a_late_answer_of_the_earlier_life_sets_no_clock() -> None:
@@ -543,7 +543,7 @@
                 break
             except NoAnswer:
                 continue
-        assert driver.start("t", 2, SPEC, 0.5, monotonic()) is StartVerdict.STARTED
+        assert driver.start("t", 2, SPEC, 0.5, monotonic()) is StartResult.STARTED
 
 
 @pytest.mark.parametrize("body, born", [(b"", 0), (b"{}", 0), (b'{"born": 12}', 12)])
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -25,7 +25,7 @@
 from gentianmux.leased.job_state import JobState, Phase, Prospect
 from gentianmux.leased.model import JobSpec, QueueRules, RunOutcome, StepSpec
 from gentianmux.leased.progress import STALL_S, Progress
-from gentianmux.leased.resources import Resources, RoomAccount
+from gentianmux.leased.resources import ResourcePool, Resources
 from gentianmux.leased.settings import LeasedSettings, lease_s
 from gentianmux.messages import AgentLoad, EndpointState
 
@@ -44,7 +44,7 @@
 def test_room_taken_never_exceeds_the_capacity_and_all_of_it_returns(
     steps: list[tuple[int, int, bool]],
 ) -> None:
-    account = RoomAccount(Resources(10, 10))
+    account = ResourcePool(Resources(10, 10))
     for run, size, takes in steps:
         if takes:
             account.take((str(run), 1), Resources(size, 1))
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -13,7 +13,7 @@
 
 from gentianmux.codes import ResultCode
 from gentianmux.errors import GentianmuxError, LogError
-from gentianmux.leased.model import EndpointGone, NoAnswer, RunOutcome, StartVerdict
+from gentianmux.leased.model import EndpointGone, NoAnswer, RunOutcome, StartResult
 from gentianmux.leased.resources import Resources
 from gentianmux.platform.callers import read_job
 from gentianmux.platform.config import decode_config
@@ -211,12 +211,12 @@
         driver = PlatformEndpoint(address, 0.05)
         driver.attach(report_of())
         driver.hold(0, 0.0, 0.5, 1.0)
-        assert driver.start("t", 1, SPEC, 0.5, monotonic()) is StartVerdict.STARTED
+        assert driver.start("t", 1, SPEC, 0.5, monotonic()) is StartResult.STARTED
         assert [run.task for run in driver.hold(0, 0.0, 0.5, 1.0).active] == ["t"]
         ended = driver.hold(0, 1.0, 0.5, 2.0).ended
         assert [(row.task, row.how) for row in ended] == [("t", RunOutcome.DONE)]
         assert driver.hold(ended[0].number, 0.0, 0.5, 1.0).ended == ()
-        assert driver.start("t", 1, SPEC, 0.5, monotonic()) is StartVerdict.OLD_RUN
+        assert driver.start("t", 1, SPEC, 0.5, monotonic()) is StartResult.OLD_RUN
 
 
 def test_a_later_agent_fences_off_an_earlier_one() -> None:
@@ -228,8 +228,8 @@
         gevent.sleep(0.05)
         later.attach(report_of())
         later.hold(0, 0.0, 0.5, 1.0)
-        assert earlier.start("t", 1, SPEC, 0.5, monotonic()) is StartVerdict.REFUSED
-        assert later.start("t", 1, SPEC, 0.5, monotonic()) is StartVerdict.STARTED
+        assert earlier.start("t", 1, SPEC, 0.5, monotonic()) is StartResult.REFUSED
+        assert later.start("t", 1, SPEC, 0.5, monotonic()) is StartResult.STARTED
 
 
 def test_a_stop_also_keeps_a_start_on_its_way_from_running() -> None:
@@ -240,7 +240,7 @@
         driver = PlatformEndpoint(address, 0.05)
         driver.attach(report_of())
         driver.hold(0, 0.0, 0.5, 1.0)
-        assert driver.start("t", 1, SPEC, 0.5, monotonic()) is StartVerdict.NO_ANSWER
+        assert driver.start("t", 1, SPEC, 0.5, monotonic()) is StartResult.NO_ANSWER
         assert driver.stop("t", 1)
         gevent.sleep(0.2)
         assert app.active() == []
@@ -253,7 +253,7 @@
         driver.attach(report_of("i-1"))
         with pytest.raises(EndpointGone):
             driver.hold(0, 0.0, 0.5, 1.0)
-        assert driver.start("t", 1, SPEC, 0.5, monotonic()) is StartVerdict.REPLACED
+        assert driver.start("t", 1, SPEC, 0.5, monotonic()) is StartResult.REPLACED
 
 
 def test_a_probe_tells_the_present_life_from_others_and_changes_nothing() -> None:
@@ -265,7 +265,7 @@
         fence = app.fence
         assert driver.is_present(report_of("i-2")) is True
         assert driver.is_present(report_of("i-1")) is False
-        assert driver.start("t", 1, SPEC, 0.5, monotonic()) is StartVerdict.STARTED
+        assert driver.start("t", 1, SPEC, 0.5, monotonic()) is StartResult.STARTED
         assert app.fence == fence
     assert driver.is_present(report_of("i-2")) is None
 
