--- a/bench/leased_capacity.py
+++ b/bench/leased_capacity.py
@@ -10,7 +10,7 @@
 from bench.processes import ROOT
 from gentianmux.leased.fleet_view import FleetView, Wish
 from gentianmux.leased.job_state import JobState
-from gentianmux.leased.model import JobSpec, QueueRules, StepSpec
+from gentianmux.leased.model import JobSpec, QueueConfig, StepSpec
 from gentianmux.leased.resources import Resources
 from gentianmux.messages import AgentLoad, EndpointState
 
@@ -18,7 +18,7 @@
 SIZES = (11, 60, 300, 1000, 11_000)
 ROUNDS = 7
 DECISIONS = 200
-QUEUE = QueueRules("q", "h", "/q/", "s", 5000, 60, 0, 3, 1.6)
+QUEUE = QueueConfig("q", "h", "/q/", "s", 5000, 60, 0, 3, 1.6)
 
 
 def fleet(agents: int) -> FleetView:
--- a/bench/leased_links.py
+++ b/bench/leased_links.py
@@ -33,7 +33,7 @@
     def call_later(self, delay_s: float, call: Callable[..., Any], *args: Any) -> None:
         self._world.at(delay_s, self._process, call, *args)
 
-    def soon(self, call: Callable[..., Any], *args: Any) -> None:
+    def call_soon(self, call: Callable[..., Any], *args: Any) -> None:
         self.call_later(CALL_S, call, *args)
 
 
--- a/bench/leased_speed.py
+++ b/bench/leased_speed.py
@@ -27,7 +27,7 @@
 from gentianmux.leased.model import (
     JobConfig,
     JobSpec,
-    QueueRules,
+    QueueConfig,
     RequestLimits,
     RunOutcome,
     StepSpec,
@@ -55,7 +55,7 @@
 NEED = Resources(1200, 64)
 PAYLOAD = "0123456789abcdef" * 150
 # So patient that nothing is refused: what is timed is waiting and placing.
-QUEUE = QueueRules("q", "h", "/q/", "s", 5000, 60, 0, 3, 1e5)
+QUEUE = QueueConfig("q", "h", "/q/", "s", 5000, 60, 0, 3, 1e5)
 JOBS = 60
 ROUNDS = 5
 
@@ -73,7 +73,7 @@
     def call_later(self, delay_s: float, call: Any, *args: Any) -> None:
         self.due.append((call, args))
 
-    def soon(self, call: Any, *args: Any) -> None:
+    def call_soon(self, call: Any, *args: Any) -> None:
         self.due.append((call, args))
 
     def run_due(self) -> None:
--- a/bench/leased_world.py
+++ b/bench/leased_world.py
@@ -25,7 +25,7 @@
     EndpointReport,
     JobConfig,
     JobSpec,
-    QueueRules,
+    QueueConfig,
     RequestLimits,
     StepSpec,
     instance_of,
@@ -38,7 +38,7 @@
 from gentianmux.metrics import Metrics
 from gentianmux.settings import Settings
 
-QUEUE = QueueRules("q", "h.example", "/q/", "s", 5000, 60, 0, 3, 1.6)
+QUEUE = QueueConfig("q", "h.example", "/q/", "s", 5000, 60, 0, 3, 1.6)
 ENDPOINT_ROOM = Resources(16000, 65536, 0)
 
 EVACUATE_S = 0.05
@@ -77,7 +77,7 @@
     """A job that was handed in, for the checks at the end."""
 
     spec: JobSpec
-    queue: QueueRules
+    queue: QueueConfig
     at: float
     ideal_s: float
     ticket: Ticket
@@ -462,7 +462,7 @@
         estimate_ms: int | None = None,
         failures: int = 0,
         job_id: str = "",
-        queue: QueueRules = QUEUE,
+        queue: QueueConfig = QUEUE,
         time_limit_s: float = 5.0,
         works: tuple[float, ...] = (),
         payload: str = "x",
--- a/bench/scenario.py
+++ b/bench/scenario.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from gentianmux.leased.model import QueueRules
+from gentianmux.leased.model import QueueConfig
 
 DEADLINE_MS = 9000
 """Milliseconds that callers wait, beyond three times the longest usual objective."""
@@ -13,7 +13,7 @@
 class Kind(NamedTuple):
     """One kind of job: how many come a second, and how it is drawn."""
 
-    queue: QueueRules
+    queue: QueueConfig
     per_s: float
     tasks: int
     most_tasks: int
@@ -87,9 +87,9 @@
     policies: dict[str, dict[str, float]]
 
 
-def queue(name: str, priority: int, target_ms: int = 60, stretch: float = 1.6) -> QueueRules:
+def queue(name: str, priority: int, target_ms: int = 60, stretch: float = 1.6) -> QueueConfig:
     """Rules of a queue of the scenario's one service."""
-    return QueueRules(
+    return QueueConfig(
         name, "h.example", f"/{name}/", "s", DEADLINE_MS, target_ms, priority, 3, stretch
     )
 
--- a/bench/world.py
+++ b/bench/world.py
@@ -28,7 +28,7 @@
 from gentianmux.node_context import NodeContext
 from gentianmux.placement import Placement
 from gentianmux.settings import Settings
-from gentianmux.shard_keeper import ShardKeeper
+from gentianmux.shard_keeper import ShardManager
 from gentianmux.start_records import JobRecord, TaskRecord
 from gentianmux.witness import Witness
 
@@ -59,7 +59,7 @@
     def call_later(self, delay_s: float, call: Callable[..., Any], *args: Any) -> None:
         self._world.at(delay_s, self._name, call, *args)
 
-    def soon(self, call: Callable[..., Any], *args: Any) -> None:
+    def call_soon(self, call: Callable[..., Any], *args: Any) -> None:
         self.call_later(0.0, call, *args)
 
 
@@ -159,7 +159,7 @@
         self.ctx = NodeContext(cfg, me, FakeLog(world, name), FakeClock(world, me.process))
         self.ctx.members = FakeMembers(world, me.process)  # type: ignore[assignment]
         self.ctx.peers = FakePeers(world, me.process)  # type: ignore[assignment]
-        ShardKeeper(self.ctx)
+        ShardManager(self.ctx)
         Coordinator(self.ctx)
         Placement(self.ctx)
         executor = Executor(self.ctx)
--- a/src/gentianmux/clock.py
+++ b/src/gentianmux/clock.py
@@ -36,7 +36,7 @@
         """Call once after a delay in seconds."""
         gevent.spawn_later(delay_s, call, *args)
 
-    def soon(self, call: Callable[..., Any], *args: Any) -> None:
+    def call_soon(self, call: Callable[..., Any], *args: Any) -> None:
         """Call once, outside the present call; it may block."""
         gevent.spawn(call, *args)
 
--- a/src/gentianmux/executor.py
+++ b/src/gentianmux/executor.py
@@ -98,7 +98,7 @@
                 self._flush(self.records.jobs[key])
         if running:
             names = [task_name(key, task) for key, task in running]
-            self._ctx.clock.soon(self._endpoint.stop, names)
+            self._ctx.clock.call_soon(self._endpoint.stop, names)
 
     def on_trace_query(self, query: TraceQuery, sender: str) -> None:
         """Say what is known of keys; the older epochs of the shard are fenced from here on."""
@@ -168,7 +168,7 @@
                 name for name, (_, record) in self.running.items() if now - record.since > period_s
             ]
             if names:
-                self._ctx.clock.soon(self._endpoint.renew, names)
+                self._ctx.clock.call_soon(self._endpoint.renew, names)
 
     def _may_run(self, member: str) -> bool:
         """Whether a member holds fewer slots here than its part of its claim."""
@@ -264,7 +264,7 @@
 
     def launch(self, job: JobRecord, record: TaskRecord) -> None:
         """Run a task at the endpoint without waiting for it."""
-        self._ctx.clock.soon(self._run, job, record)
+        self._ctx.clock.call_soon(self._run, job, record)
 
     def _run(self, job: JobRecord, record: TaskRecord) -> None:
         try:
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -29,7 +29,7 @@
 from .job_state import JobState, Outcome, longest_chain_s
 from .leaving import ends_in_time
 from .links import Links
-from .model import JobSpec, QueueRules, RunOutcome
+from .model import JobSpec, QueueConfig, RunOutcome
 from .placing import Placing
 from .resources import NO_RESOURCES
 from .run_ends import RunEnds
@@ -108,7 +108,7 @@
 
     # Jobs
 
-    def submit(self, spec: JobSpec, queue: QueueRules, time_limit_s: float) -> Ticket:
+    def submit(self, spec: JobSpec, queue: QueueConfig, time_limit_s: float) -> Ticket:
         """Admit a job, or join the one of the same id that is at work here."""
         running = self._ctx.jobs.get(spec.job_id)
         if running is not None:
@@ -159,7 +159,7 @@
         self._ctx.window.told(agent, msg.applied, now)
         self._handing.heard_of(agent, msg.config_version)
         if view.free.cpu > 0:
-            self._placing.soon()
+            self._placing.call_soon()
         # Room that is granted to what no longer waits is for another entry.
         gives_back = not self._ctx.backlog and bool(view.told)
         if gives_back or self._ctx.clock.now() - view.echoed_at >= ECHO_GAP_S:
@@ -177,7 +177,7 @@
             ).info("endpoint state")
         if msg.accepting:
             self._ends.lose_earlier_lives(agent)
-        self._placing.soon()
+        self._placing.call_soon()
 
     @on_message.register
     def _(self, msg: EndedRuns, agent: str) -> None:
@@ -189,7 +189,7 @@
         if view.is_leaving:
             # It ends once its last runs are acknowledged.
             self._ctx.echo(view)
-        self._placing.soon()
+        self._placing.call_soon()
 
     @on_message.register
     def _(self, msg: Holding, agent: str) -> None:
@@ -209,7 +209,7 @@
 
     def _on_evacuations(self, evacuations: Evacuations) -> None:
         self._ctx.view.evacuated = evacuations.failure_domains
-        self._placing.soon()
+        self._placing.call_soon()
 
     # Losses
 
--- a/src/gentianmux/leased/job_state.py
+++ b/src/gentianmux/leased/job_state.py
@@ -5,7 +5,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from .model import JobSpec, QueueRules, RunOutcome, StepSpec
+from .model import JobSpec, QueueConfig, RunOutcome, StepSpec
 from .payloads import pack
 from .resources import NO_RESOURCES, Resources
 
@@ -82,7 +82,7 @@
     ----------
     spec : JobSpec
         What the caller asked for.
-    queue : QueueRules
+    queue : QueueConfig
         The rules of its queue.
     now : float
         Monotonic time of its arrival, in seconds.
@@ -111,7 +111,7 @@
         What a task takes of a link: its payload goes once to each endpoint, to two tasks or more.
     """
 
-    def __init__(self, spec: JobSpec, queue: QueueRules, now: float, deadline: float) -> None:
+    def __init__(self, spec: JobSpec, queue: QueueConfig, now: float, deadline: float) -> None:
         self.spec = spec
         self.queue = queue
         self.arrived = now
--- a/src/gentianmux/leased/model.py
+++ b/src/gentianmux/leased/model.py
@@ -49,7 +49,7 @@
     steps: tuple[StepSpec, ...]
 
 
-class QueueRules(NamedTuple):
+class QueueConfig(NamedTuple):
     """What the configuration says of one queue of jobs.
 
     Attributes
@@ -96,7 +96,7 @@
     """One version of the configuration; ``raw`` is what peers hand on to each other."""
 
     version: int
-    queues: tuple[QueueRules, ...]
+    queues: tuple[QueueConfig, ...]
     limits: RequestLimits
     raw: bytes
 
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -41,7 +41,7 @@
 
     Examples
     --------
-    ``placing.soon()`` when room or jobs have come; ``placing.place()`` at once.
+    ``placing.call_soon()`` when room or jobs have come; ``placing.place()`` at once.
     """
 
     def __init__(
@@ -53,11 +53,11 @@
         self._planned = False
         self._claims_told_at = 0.0
 
-    def soon(self) -> None:
+    def call_soon(self) -> None:
         """Place after what is being handled now."""
         if self._ctx.backlog and not self._planned:
             self._planned = True
-            self._ctx.clock.soon(self._place_planned)
+            self._ctx.clock.call_soon(self._place_planned)
 
     def _place_planned(self) -> None:
         self._planned = False
--- a/src/gentianmux/leased/resources.py
+++ b/src/gentianmux/leased/resources.py
@@ -52,9 +52,9 @@
     Examples
     --------
     >>> account = ResourcePool(Resources(2000, 100))
-    >>> account.take(("a", 1), Resources(1600, 64))
+    >>> account.allocate(("a", 1), Resources(1600, 64))
     True
-    >>> account.take(("b", 1), Resources(1600, 64))
+    >>> account.allocate(("b", 1), Resources(1600, 64))
     False
     """
 
@@ -68,7 +68,7 @@
         """What nothing has taken."""
         return self.capacity.minus(self.used)
 
-    def take(self, run: tuple[str, int], need: Resources) -> bool:
+    def allocate(self, run: tuple[str, int], need: Resources) -> bool:
         """Take room for a run; false, and nothing is taken, when it does not fit."""
         if run in self._taken or not self.free.fits(need):
             return False
--- a/src/gentianmux/leased/run_starts.py
+++ b/src/gentianmux/leased/run_starts.py
@@ -86,7 +86,7 @@
             free_cpu=self._ctx.table.room.free.cpu,
             runs=len(self._ctx.table.runs),
         ).info("run begun")
-        self._ctx.clock.soon(self._start, task, payload)
+        self._ctx.clock.call_soon(self._start, task, payload)
         return None
 
     def _begin_when_gone(self, task: LeasedTask, payload: str, entry: str, until: float) -> None:
--- a/src/gentianmux/leased/run_stops.py
+++ b/src/gentianmux/leased/run_stops.py
@@ -32,7 +32,7 @@
     def stop_due(self) -> None:
         """Tell the endpoint of the stops that it has not confirmed."""
         for key in self._ctx.table.due_stops(self._ctx.clock.now()):
-            self._ctx.clock.soon(self._call_stop, key)
+            self._ctx.clock.call_soon(self._call_stop, key)
 
     def _call_stop(self, key: RunKey) -> None:
         if self._ctx.driver.stop(*key):
--- a/src/gentianmux/leased/run_table.py
+++ b/src/gentianmux/leased/run_table.py
@@ -123,7 +123,7 @@
 
     def begin(self, key: RunKey, entry: str, need: Resources, estimate_ms: int, now: float) -> bool:
         """Take room for a run about to be started; false when there is none."""
-        if key in self.runs or not self.room.take(key, need):
+        if key in self.runs or not self.room.allocate(key, need):
             return False
         self.runs[key] = Run(key, entry, need, estimate_ms, now, progress=Progress(now))
         return True
--- a/src/gentianmux/log_watch.py
+++ b/src/gentianmux/log_watch.py
@@ -119,7 +119,7 @@
         if joined or ctx.draining or ctx.now() - self._announced < ANNOUNCE_AGAIN_S:
             return
         self._announced = ctx.now()
-        ctx.clock.soon(self.append, fleet_state.STREAM, to_json(ctx.me))
+        ctx.clock.call_soon(self.append, fleet_state.STREAM, to_json(ctx.me))
 
     def append(self, stream: str, data: str) -> bool:
         """Append to a stream; false when it is not known whether that took effect."""
--- a/src/gentianmux/node.py
+++ b/src/gentianmux/node.py
@@ -21,7 +21,7 @@
 from .peers import Peers
 from .placement import Placement
 from .settings import Settings
-from .shard_keeper import ShardKeeper
+from .shard_keeper import ShardManager
 from .witness import Witness
 
 UPKEEP_S = 1.0
@@ -70,7 +70,7 @@
         self.witness = Witness(self.ctx)
         self.ctx.members.on_change = self.witness.on_change
         if self.ctx.is_agent:
-            ShardKeeper(self.ctx)
+            ShardManager(self.ctx)
             Coordinator(self.ctx)
             Placement(self.ctx)
             Executor(self.ctx)
--- a/src/gentianmux/peers.py
+++ b/src/gentianmux/peers.py
@@ -73,7 +73,7 @@
             cannot take more.
         """
         if process == self._ctx.process:
-            self._ctx.clock.soon(self._handle, msg, self._ctx, process)
+            self._ctx.clock.call_soon(self._handle, msg, self._ctx, process)
             return True
         conn = self._conns.get(process) or self._dial(process)
         if conn is None:
--- a/src/gentianmux/placement.py
+++ b/src/gentianmux/placement.py
@@ -260,7 +260,7 @@
         """Place the backlog once for all results that arrive together."""
         if self.backlog and not self._placing:
             self._placing = True
-            self._ctx.clock.soon(self.place_backlog)
+            self._ctx.clock.call_soon(self.place_backlog)
 
     def place_backlog(self) -> None:
         """Place what waits, least work left first."""
--- a/src/gentianmux/platform/callers.py
+++ b/src/gentianmux/platform/callers.py
@@ -15,7 +15,7 @@
 from ..leased.config_feed import ConfigFeed
 from ..leased.entry import Entry
 from ..leased.job_state import Outcome
-from ..leased.model import JobSpec, QueueRules, RequestLimits, StepSpec
+from ..leased.model import JobSpec, QueueConfig, RequestLimits, StepSpec
 from ..leased.resources import Resources
 from ..metrics import Metrics
 from ..settings import Settings
@@ -132,7 +132,7 @@
             return Response(410, {"error": "no such job is kept"})
         raise GentianmuxError(ResultCode.METHOD_NOT_ALLOWED, method)
 
-    def _queue_of(self, environ: dict[str, Any]) -> tuple[QueueRules, str]:
+    def _queue_of(self, environ: dict[str, Any]) -> tuple[QueueConfig, str]:
         config = self._feed.first(FIRST_CONFIG_S)
         if config is None:
             raise GentianmuxError(ResultCode.CONFIG_MISSING, retry_after_ms=RETRY_AFTER_S * 1000)
@@ -144,7 +144,7 @@
         queue = max(found, key=lambda each: len(each.prefix))
         return queue, path[len(queue.prefix) :]
 
-    def _submit(self, environ: dict[str, Any], queue: QueueRules, job_id: str) -> Response:
+    def _submit(self, environ: dict[str, Any], queue: QueueConfig, job_id: str) -> Response:
         time_limit_s = _time_limit_s(environ, queue)
         spec = read_job(job_id, read_body(environ, self._cfg))
         if not self._entry.takes(spec):
@@ -160,7 +160,7 @@
         return Response(status, content, verdict.retry_after_s)
 
 
-def _time_limit_s(environ: dict[str, Any], queue: QueueRules) -> float:
+def _time_limit_s(environ: dict[str, Any], queue: QueueConfig) -> float:
     text = environ.get("HTTP_GENTIANMUX_DEADLINE_MS", "")
     if not text:
         return max(1, queue.timeout_ms) / 1000
--- a/src/gentianmux/platform/config.py
+++ b/src/gentianmux/platform/config.py
@@ -5,7 +5,7 @@
 from ..codes import ResultCode
 from ..errors import GentianmuxError
 from ..leased.config_feed import ConfigSource
-from ..leased.model import JobConfig, QueueRules, RequestLimits
+from ..leased.model import JobConfig, QueueConfig, RequestLimits
 from ..typed_json import read_object
 
 
@@ -30,8 +30,8 @@
         raise GentianmuxError(ResultCode.CHANGE_INVALID, repr(exc)) from exc
 
 
-def _queue(route: dict[str, Any]) -> QueueRules:
-    return QueueRules(
+def _queue(route: dict[str, Any]) -> QueueConfig:
+    return QueueConfig(
         name=str(route["name"]),
         host=str(route["host"]).lower(),
         prefix=str(route["path_prefix"]),
--- a/src/gentianmux/shard_keeper.py
+++ b/src/gentianmux/shard_keeper.py
@@ -48,7 +48,7 @@
         self.move = 0
 
 
-class ShardKeeper:
+class ShardManager:
     """The controller of shards; every change of ownership goes through the platform's log.
 
     Parameters
@@ -323,7 +323,7 @@
 
     def append(self, record: FleetRecord) -> None:
         """Append a record without waiting; what became of it is read from the log."""
-        self._ctx.clock.soon(self._append, record)
+        self._ctx.clock.call_soon(self._append, record)
 
     def _append(self, record: FleetRecord) -> None:
         self._ctx.metrics.count("log_appends")
--- a/src/gentianmux/shard_moves.py
+++ b/src/gentianmux/shard_moves.py
@@ -10,7 +10,7 @@
 from .node_context import NodeContext
 
 if TYPE_CHECKING:
-    from .shard_keeper import OwnedShard, ShardKeeper
+    from .shard_keeper import OwnedShard, ShardManager
 
 HANDOVER_PART = 500
 MOVES_AT_ONCE = 4
@@ -34,7 +34,7 @@
     ----------
     ctx : NodeContext
         The blackboard.
-    keeper : ShardKeeper
+    keeper : ShardManager
         The shards that this agent owns.
     """
 
--- a/src/gentianmux/witness.py
+++ b/src/gentianmux/witness.py
@@ -54,7 +54,7 @@
         if now - self._evicted.get(process, -REPEAT_S) < REPEAT_S:
             return
         self._evicted[process] = now
-        self._ctx.clock.soon(self._append, process)
+        self._ctx.clock.call_soon(self._append, process)
 
     def check_dead(self) -> None:
         """Look again at dead processes that the log still names."""
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -16,11 +16,11 @@
 from gentianmux.leased.candidates import Candidates
 from gentianmux.leased.fleet_view import AgentView, FleetView, Wish
 from gentianmux.leased.job_state import JobState, Prospect
-from gentianmux.leased.model import JobSpec, QueueRules, RunOutcome, StepSpec
+from gentianmux.leased.model import JobSpec, QueueConfig, RunOutcome, StepSpec
 from gentianmux.leased.resources import Resources
 from gentianmux.messages import AgentLoad, EndpointState
 
-QUEUE = QueueRules("q", "h", "/q/", "s", 5000, 60, 0, 3, 1.6)
+QUEUE = QueueConfig("q", "h", "/q/", "s", 5000, 60, 0, 3, 1.6)
 
 
 def job(number: int, rng: Random) -> JobState:
--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -17,12 +17,12 @@
 from gentianmux.http_server import HttpServer
 from gentianmux.leased.caller_watch import wait_for_verdict
 from gentianmux.leased.job_state import JobState, Outcome
-from gentianmux.leased.model import JobSpec, QueueRules, StepSpec
+from gentianmux.leased.model import JobSpec, QueueConfig, StepSpec
 from gentianmux.leased.resources import Resources
 from gentianmux.leased.ticket import Ticket, Verdict
 from gentianmux.settings import Settings
 
-QUEUE = QueueRules("q", "h", "/q/", "s", 5000, 60, 0, 3, 1.6)
+QUEUE = QueueConfig("q", "h", "/q/", "s", 5000, 60, 0, 3, 1.6)
 REQUEST = b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"
 ROUNDS, CALLERS = 40, 100
 
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -14,7 +14,7 @@
 from gentianmux.leased.claiming import MAX_CLAIMS, claims_of, signature
 from gentianmux.leased.grants import GRANT_S, LATE_RESERVE, PASS_OVER_S, Grants, split
 from gentianmux.leased.job_state import JobState, Prospect
-from gentianmux.leased.model import JobSpec, QueueRules, StepSpec
+from gentianmux.leased.model import JobSpec, QueueConfig, StepSpec
 from gentianmux.leased.resources import NO_RESOURCES, Resources
 from gentianmux.messages import Claim
 
@@ -186,7 +186,7 @@
 
 # What an entry claims
 
-QUEUE = QueueRules("q", "h", "/q/", "s", 5000, 60, 0, 3, 1.6)
+QUEUE = QueueConfig("q", "h", "/q/", "s", 5000, 60, 0, 3, 1.6)
 
 
 def waiting_job(number: int, cpu: int = 2500, tasks: int = 2, priority: int = 0) -> JobState:
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -23,13 +23,13 @@
 from gentianmux.leased.fleet_view import LOOKED_AT, FleetView, Wish
 from gentianmux.leased.health import FAILED_IN_A_ROW, EndpointHealth
 from gentianmux.leased.job_state import JobState, Phase, Prospect
-from gentianmux.leased.model import JobSpec, QueueRules, RunOutcome, StepSpec
+from gentianmux.leased.model import JobSpec, QueueConfig, RunOutcome, StepSpec
 from gentianmux.leased.progress import STALL_S, Progress
 from gentianmux.leased.resources import ResourcePool, Resources
 from gentianmux.leased.settings import LeasedSettings, lease_s
 from gentianmux.messages import AgentLoad, EndpointState
 
-QUEUE = QueueRules("q", "h", "/q/", "s", 5000, 60, 0, 3, 1.6)
+QUEUE = QueueConfig("q", "h", "/q/", "s", 5000, 60, 0, 3, 1.6)
 
 
 def job(number: int = 1, tasks: int = 2, estimate_ms: int = 400, arrived: float = 0.0) -> JobState:
@@ -47,7 +47,7 @@
     account = ResourcePool(Resources(10, 10))
     for run, size, takes in steps:
         if takes:
-            account.take((str(run), 1), Resources(size, 1))
+            account.allocate((str(run), 1), Resources(size, 1))
         else:
             account.give_back((str(run), 1))
         assert account.capacity.fits(account.used)
