--- a/bench/leased_endpoint.py
+++ b/bench/leased_endpoint.py
@@ -6,10 +6,10 @@
 
 from gentianmux.leased.model import (
     ActiveRun,
-    EndedRow,
     EndpointGone,
     EndpointReport,
     EndpointStartedAgain,
+    EndRecord,
     HoldReply,
     NoAnswer,
     RunOutcome,
@@ -97,7 +97,7 @@
         self.late_by = 3.0
         self.up = True
         self.active: dict[tuple[str, int], FakeRun] = {}
-        self.ends: list[EndedRow] = []
+        self.ends: list[EndRecord] = []
         self.stopped_runs: dict[str, int] = defaultdict(int)
         self.fence = 0
         self.lease_until = 0.0
@@ -133,7 +133,7 @@
         del self.active[key]
         self._number += 1
         self.stopped_runs[key[0]] = max(self.stopped_runs[key[0]], key[1])
-        self.ends.append(EndedRow(self._number, *key, how))
+        self.ends.append(EndRecord(self._number, *key, how))
         if how is not RunOutcome.DONE:
             self.world.wasted_runs += 1
 
--- a/bench/world.py
+++ b/bench/world.py
@@ -172,7 +172,7 @@
         self.silent_since: float | None = None
         for period_s, step in (
             (0.5, self.watch.read),
-            (0.5, self.ctx.keeper.step),
+            (0.5, self.ctx.shard_manager.step),
             (0.2, self.ctx.coordinator.step),
             (1.0, self._react),
         ):
--- a/src/gentianmux/coordinator.py
+++ b/src/gentianmux/coordinator.py
@@ -56,11 +56,11 @@
         """Rule on a submission: admit, join, answer from the ledger, ask for traces, refuse."""
         ctx = self._ctx
         shard = ctx.shard_of(msg.key)
-        refusal = ctx.keeper.refusal(shard)
+        refusal = ctx.shard_manager.refusal(shard)
         if refusal is not None:
             self._refuse(msg.key, refusal, waiter)
             return
-        ledger = ctx.keeper.owned[shard].ledger
+        ledger = ctx.shard_manager.owned[shard].ledger
         ruling = ledger.rule(msg.key, msg.digest, msg.submitted_ms, ctx.now_ms())
         self.apply_ruling(ruling, msg, waiter)
 
@@ -73,7 +73,7 @@
         elif ruling.verdict is Verdict.KEPT:
             self._answer(msg.key, ruling.code, ruling.answer, [waiter])
         elif ruling.verdict is Verdict.ASK:
-            self._ctx.keeper.ask_traces(msg, waiter)
+            self._ctx.shard_manager.ask_traces(msg, waiter)
         else:
             self._refuse(msg.key, ruling.code, waiter)
 
@@ -95,7 +95,7 @@
         ctx = self._ctx
         shard = ctx.shard_of(msg.key)
         row = ctx.fleet.shards[shard]
-        ctx.keeper.owned[shard].ledger.admit(msg.key, msg.digest, msg.submitted_ms)
+        ctx.shard_manager.owned[shard].ledger.admit(msg.key, msg.digest, msg.submitted_ms)
         job = Job(msg, shard, row.epoch, specs, ctx.now(), attempt)
         self._repeats.first_try()
         job.note(ctx.now(), f"admitted by {ctx.process} under epoch {row.epoch}")
@@ -138,11 +138,11 @@
     def on_query(self, msg: Query, waiter: Waiter) -> None:
         """Answer a question for a job's state."""
         shard = self._ctx.shard_of(msg.key)
-        refusal = self._ctx.keeper.refusal(shard)
+        refusal = self._ctx.shard_manager.refusal(shard)
         if refusal is not None:
             self._refuse(msg.key, refusal, waiter)
             return
-        ruling = self._ctx.keeper.owned[shard].ledger.kept(msg.key)
+        ruling = self._ctx.shard_manager.owned[shard].ledger.kept(msg.key)
         if ruling is None:
             self._refuse(msg.key, ResultCode.JOB_UNKNOWN, waiter)
         elif ruling.verdict is Verdict.JOIN:
@@ -165,7 +165,7 @@
         job.end_waiting(ResultCode.CANCELLED)
         self._ctx.placement.backlog.pop(job.key, None)
         for agent in sorted(job.agents()):
-            self._ctx.keeper.revoke_soon(agent, job.key)
+            self._ctx.shard_manager.revoke_soon(agent, job.key)
         self._finish_if_done(job)
 
     def on_explain(self, msg: Explain, waiter: Waiter) -> None:
@@ -229,7 +229,7 @@
         job.note(now, f"ended: {code.label}")
         del self.jobs[job.key]
         self._ctx.placement.backlog.pop(job.key, None)
-        ledger = self._ctx.keeper.ledger_of(job.shard, job.epoch)
+        ledger = self._ctx.shard_manager.ledger_of(job.shard, job.epoch)
         if ledger is not None and job.never_ran() and not job.cancelled:
             ledger.reopen(job.key, 1 + max(task.attempt for task in job.tasks))
         elif ledger is not None:
--- a/src/gentianmux/handlers.py
+++ b/src/gentianmux/handlers.py
@@ -115,27 +115,27 @@
 
 @handle.register
 def _(msg: TraceReply, ctx: NodeContext, sender: str) -> None:
-    ctx.keeper.on_trace_reply(msg)
+    ctx.shard_manager.on_trace_reply(msg)
 
 
 @handle.register
 def _(msg: LeaseRequest, ctx: NodeContext, sender: str) -> None:
-    ctx.keeper.on_lease_request(msg, sender)
+    ctx.shard_manager.on_lease_request(msg, sender)
 
 
 @handle.register
 def _(msg: LeaseGrant, ctx: NodeContext, sender: str) -> None:
-    ctx.keeper.on_lease_grant(msg)
+    ctx.shard_manager.on_lease_grant(msg)
 
 
 @handle.register
 def _(msg: LedgerHandover, ctx: NodeContext, sender: str) -> None:
-    ctx.keeper.moves.on_handover(msg, sender)
+    ctx.shard_manager.moves.on_handover(msg, sender)
 
 
 @handle.register
 def _(msg: HandoverReply, ctx: NodeContext, sender: str) -> None:
-    ctx.keeper.moves.on_handover_reply(msg, sender)
+    ctx.shard_manager.moves.on_handover_reply(msg, sender)
 
 
 @handle.register
--- a/src/gentianmux/leased/model.py
+++ b/src/gentianmux/leased/model.py
@@ -166,7 +166,7 @@
     percent: float
 
 
-class EndedRow(NamedTuple):
+class EndRecord(NamedTuple):
     """An end that an endpoint lists until it is acknowledged by ``number``."""
 
     number: int
@@ -180,7 +180,7 @@
 
     asked_at: float
     active: tuple[ActiveRun, ...]
-    ended: tuple[EndedRow, ...]
+    ended: tuple[EndRecord, ...]
 
 
 class EndpointGone(Exception):
--- a/src/gentianmux/leased/resources.py
+++ b/src/gentianmux/leased/resources.py
@@ -76,7 +76,7 @@
         self.used = self.used.plus(need)
         return True
 
-    def give_back(self, run: tuple[str, int]) -> None:
+    def release(self, run: tuple[str, int]) -> None:
         """Give back what a run took; a run that took nothing changes nothing."""
         need = self._taken.pop(run, None)
         if need is not None:
--- a/src/gentianmux/leased/run_table.py
+++ b/src/gentianmux/leased/run_table.py
@@ -248,5 +248,5 @@
         run = self.runs.pop(key, None)
         if run is None:
             return None
-        self.room.give_back(key)
+        self.room.release(key)
         return Finished(run, how)
--- a/src/gentianmux/log_watch.py
+++ b/src/gentianmux/log_watch.py
@@ -66,7 +66,7 @@
         ctx.members.versions = Versions(config.next_offset - 1, fleet.next_offset - 1)
         ctx.members.learn(ctx.fleet.processes.values(), ctx.now())
         if fresh and ctx.is_agent:
-            ctx.keeper.on_fleet()
+            ctx.shard_manager.on_fleet()
         if fresh and ctx.me.role != "agent":
             ctx.dispatcher.on_fleet()
 
--- a/src/gentianmux/node.py
+++ b/src/gentianmux/node.py
@@ -93,7 +93,7 @@
         loops = [self.watch.run, self.gossip.run, self._upkeep]
         if self.ctx.is_agent:
             ctx = self.ctx
-            loops += [ctx.keeper.run_leases, ctx.coordinator.run_backlog]
+            loops += [ctx.shard_manager.run_leases, ctx.coordinator.run_backlog]
             loops += [ctx.executor.run_renewals]
         self._loops = [gevent.spawn(loop) for loop in loops]
         logger.info("started as {} on {}", self.ctx.me.role, self.ctx.cfg.peer_address)
@@ -107,7 +107,7 @@
             self.witness.check_dead()
             self.watch.append_snapshots()
             if self.ctx.is_agent:
-                self.ctx.keeper.trim()
+                self.ctx.shard_manager.trim()
                 self.ctx.executor.records.trim(self.ctx.now_ms())
 
     def drain(self) -> bool:
@@ -129,7 +129,7 @@
                 logger.warning("gave up draining with work in flight")
                 return False
             if ctx.is_agent:
-                ctx.keeper.moves.release_all()
+                ctx.shard_manager.moves.release_all()
             gevent.sleep(DRAIN_STEP_S)
         self.watch.leave(self._hand_over_records(until))
         return True
@@ -138,7 +138,7 @@
         """Give the start records to another agent and return its name, empty for none."""
         ctx = self.ctx
         while ctx.is_agent and ctx.now() < until:
-            target = ctx.keeper.moves.records_target()
+            target = ctx.shard_manager.moves.records_target()
             if not target or ctx.executor.hand_over_records(target):
                 return target
             gevent.sleep(DRAIN_STEP_S)
@@ -155,7 +155,7 @@
         return parted and idle and not self._shards_to_move()
 
     def _shards_to_move(self) -> bool:
-        return bool(self.ctx.keeper.owned) and self.ctx.keeper.moves.has_target()
+        return bool(self.ctx.shard_manager.owned) and self.ctx.shard_manager.moves.has_target()
 
     def stop(self) -> None:
         """Close everything at once."""
--- a/src/gentianmux/node_context.py
+++ b/src/gentianmux/node_context.py
@@ -44,12 +44,12 @@
     Notes
     -----
     Controllers put themselves on the board: ``peers`` everywhere, ``dispatcher`` at entries,
-    ``keeper``, ``coordinator`` and ``executor`` at agents.
+    ``shard_manager``, ``coordinator`` and ``executor`` at agents.
     """
 
     peers: "Peers"
     dispatcher: "Dispatcher"
-    keeper: "ShardKeeper"
+    shard_manager: "ShardKeeper"
     coordinator: "Coordinator"
     executor: "Executor"
     witness: "Witness"
--- a/src/gentianmux/platform/endpoint.py
+++ b/src/gentianmux/platform/endpoint.py
@@ -9,10 +9,10 @@
 from ..leased.chain import CLOCK_DRIFT
 from ..leased.model import (
     ActiveRun,
-    EndedRow,
     EndpointGone,
     EndpointReport,
     EndpointStartedAgain,
+    EndRecord,
     HoldReply,
     NoAnswer,
     RunOutcome,
@@ -278,7 +278,7 @@
         # A row's third field is its checkpoint; no job served here asks for any.
         active = tuple(ActiveRun(str(r[0]), int(r[1]), float(r[3])) for r in content["active"])
         ended = tuple(
-            EndedRow(int(r[0]), str(r[1]), int(r[2]), _HOW.get(r[3], RunOutcome.STOPPED))
+            EndRecord(int(r[0]), str(r[1]), int(r[2]), _HOW.get(r[3], RunOutcome.STOPPED))
             for r in content["ended_runs"]
         )
     except (KeyError, TypeError, ValueError, IndexError) as exc:
--- a/src/gentianmux/shard_keeper.py
+++ b/src/gentianmux/shard_keeper.py
@@ -54,11 +54,11 @@
     Parameters
     ----------
     ctx : NodeContext
-        The blackboard; this puts itself there as ``keeper``.
+        The blackboard; this puts itself there as ``shard_manager``.
     """
 
     def __init__(self, ctx: NodeContext) -> None:
-        ctx.keeper = self
+        ctx.shard_manager = self
         self.owned: dict[int, OwnedShard] = {}
         self.heir_of: dict[int, tuple[Shard, HeirLease]] = {}
         self.traces = TraceCollector(ctx)
--- a/src/gentianmux/shard_moves.py
+++ b/src/gentianmux/shard_moves.py
@@ -34,13 +34,13 @@
     ----------
     ctx : NodeContext
         The blackboard.
-    keeper : ShardManager
+    shard_manager : ShardManager
         The shards that this agent owns.
     """
 
-    def __init__(self, ctx: NodeContext, keeper: "ShardKeeper") -> None:
+    def __init__(self, ctx: NodeContext, shard_manager: "ShardKeeper") -> None:
         self._ctx = ctx
-        self._keeper = keeper
+        self._keeper = shard_manager
         self._incoming: dict[int, Incoming] = {}
 
     def received_ledger(self, number: int, row: Shard, bounds: LedgerBounds) -> Ledger | None:
--- a/src/gentianmux/traces.py
+++ b/src/gentianmux/traces.py
@@ -109,7 +109,7 @@
     def _rule_one(self, question: _Question, key: str, parked: _Parked) -> None:
         ctx = self._ctx
         row = ctx.fleet.shards[question.shard]
-        refusal = ctx.keeper.refusal(question.shard)
+        refusal = ctx.shard_manager.refusal(question.shard)
         if refusal is None and row.epoch != question.epoch:
             refusal = ResultCode.NOT_OWNER
         whole = self._is_whole(question, row, parked.msg)
--- a/src/gentianmux/witness.py
+++ b/src/gentianmux/witness.py
@@ -41,8 +41,10 @@
         ctx = self._ctx
         if process not in ctx.fleet.processes:
             return
-        if ctx.is_agent and any(row.owner == process for row, _ in ctx.keeper.heir_of.values()):
-            ctx.keeper.on_ended(process)
+        if ctx.is_agent and any(
+            row.owner == process for row, _ in ctx.shard_manager.heir_of.values()
+        ):
+            ctx.shard_manager.on_ended(process)
             self._evict(process)
         elif self._is_chosen(process):
             ctx.clock.call_later(LATER_S, self._evict, process)
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -32,9 +32,9 @@
 from gentianmux.leased.job_state import Outcome
 from gentianmux.leased.model import (
     ActiveRun,
-    EndedRow,
     EndpointReport,
     EndpointStartedAgain,
+    EndRecord,
     HoldReply,
     NoAnswer,
     RunOutcome,
@@ -404,11 +404,11 @@
 
 def test_the_ends_of_a_later_life_count_anew() -> None:
     table = table_with("a")
-    table.looked_at(HoldReply(1.0, (), (EndedRow(50, "z", 1, RunOutcome.DONE),)), 1.0)
+    table.looked_at(HoldReply(1.0, (), (EndRecord(50, "z", 1, RunOutcome.DONE),)), 1.0)
     assert table.acknowledged == 50
     table.turn_over()
     table.started(("a", 1), 1.1)
-    (done,) = table.looked_at(HoldReply(1.2, (), (EndedRow(1, "a", 1, RunOutcome.DONE),)), 1.2)
+    (done,) = table.looked_at(HoldReply(1.2, (), (EndRecord(1, "a", 1, RunOutcome.DONE),)), 1.2)
     assert (done.run.key, done.how) == (("a", 1), RunOutcome.DONE)
     assert table.acknowledged == 1
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -75,7 +75,7 @@
     starts = len(world.starts)
     world.resume(owner)
     world.run(0.4)
-    refusals = {node.ctx.keeper.refusal(shard) for shard in range(SETTINGS.shards)}
+    refusals = {node.ctx.shard_manager.refusal(shard) for shard in range(SETTINGS.shards)}
     assert refusals <= {ResultCode.LEASE_LAPSED, ResultCode.NOT_OWNER}
     assert len(world.starts) == starts
     settle(world)
@@ -331,7 +331,7 @@
     world.run(0.1)
     owner.ctx.draining = True
     epoch = world.row("a").epoch
-    owner.ctx.keeper.moves.release_all()
+    owner.ctx.shard_manager.moves.release_all()
     for _ in range(80):
         world.run(0.1)
     assert world.row("a").epoch == epoch
@@ -339,4 +339,6 @@
     assert world.owner("a") != owner.name
     moved = world.node(world.owner("a"))
     assert moved is not None
-    assert all(owned.ledger.taken_over_ms == NO_TIME for owned in moved.ctx.keeper.owned.values())
+    assert all(
+        owned.ledger.taken_over_ms == NO_TIME for owned in moved.ctx.shard_manager.owned.values()
+    )
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -49,10 +49,10 @@
         if takes:
             account.allocate((str(run), 1), Resources(size, 1))
         else:
-            account.give_back((str(run), 1))
+            account.release((str(run), 1))
         assert account.capacity.fits(account.used)
     for run in range(10):
-        account.give_back((str(run), 1))
+        account.release((str(run), 1))
     assert account.used == Resources()
 
 
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -7,7 +7,7 @@
 
 from bench.leased_world import ENDPOINT_ROOM, QUEUE, Asked, World
 from gentianmux.leased.job_state import Outcome
-from gentianmux.leased.model import EndedRow, EndpointReport, HoldReply, RunOutcome
+from gentianmux.leased.model import EndpointReport, EndRecord, HoldReply, RunOutcome
 from gentianmux.leased.payloads import pack
 from gentianmux.leased.resources import Resources
 from gentianmux.messages import Assign, EndedRuns, LeasedTask, Message, RunRef, Withdraw
@@ -427,7 +427,7 @@
     machine = world.machines["w0"]
     agent = machine.agent
     assert agent is not None
-    ends = (EndedRow(50, "t", 1, RunOutcome.DONE),)
+    ends = (EndRecord(50, "t", 1, RunOutcome.DONE),)
 
     def hold(*_: object) -> HoldReply:
         # The endpoint is replaced while an answer of its earlier life is on its way.
