--- a/src/gentianmux/clock.py
+++ b/src/gentianmux/clock.py
@@ -41,7 +41,7 @@
         gevent.spawn(call, *args)
 
 
-def repeat(period_s: float, call: Callable[[], None]) -> None:
+def run_periodically(period_s: float, call: Callable[[], None]) -> None:
     """Call for ever, with a pause in seconds before each call.
 
     A call that fails is logged and the next one made: a process whose deadlines, leases or reports
--- a/src/gentianmux/leased/admitting.py
+++ b/src/gentianmux/leased/admitting.py
@@ -11,7 +11,7 @@
     retry_after_s,
     wait_s,
 )
-from .entry_board import EntryBoard
+from .entry_board import EntryContext
 from .job_state import JobState, Prospect
 
 NO_AGENT_S = 0.5
@@ -23,7 +23,7 @@
 
     Parameters
     ----------
-    ctx : EntryBoard
+    ctx : EntryContext
         The jobs and the agents.
 
     Attributes
@@ -32,7 +32,7 @@
         The decisions of each service.
     """
 
-    def __init__(self, ctx: EntryBoard) -> None:
+    def __init__(self, ctx: EntryContext) -> None:
         self.admissions: defaultdict[str, Admission] = defaultdict(Admission)
         self._ctx = ctx
         self._no_agent_since: dict[str, float] = {}
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -7,7 +7,7 @@
 import gevent
 from loguru import logger
 
-from ..clock import Clock, repeat
+from ..clock import Clock, run_periodically
 from ..messages import (
     Assign,
     ConfigPiece,
@@ -25,7 +25,7 @@
 from .agent_context import AgentContext
 from .chain import REPORT_S
 from .config_feed import ConfigFeed
-from .config_handing import ConfigHanding
+from .config_transfer import ConfigHanding
 from .endpoint_looks import EndpointLooks, LookHooks
 from .endpoint_tracker import EndpointTracker, TrackerHooks
 from .entry_reports import EntryReports, Load
@@ -189,7 +189,10 @@
 
     def run_loops(self) -> list[gevent.Greenlet]:
         """Spawn the loops of this controller."""
-        return [gevent.spawn(self._ctx.looks.run), gevent.spawn(repeat, 0.0, self._keep_up)]
+        return [
+            gevent.spawn(self._ctx.looks.run),
+            gevent.spawn(run_periodically, 0.0, self._keep_up),
+        ]
 
     def _keep_up(self) -> None:
         """Check the chains and report, and wait for the next turn: at rest no run depends on it."""
--- a/src/gentianmux/leased/config_feed.py
+++ b/src/gentianmux/leased/config_feed.py
@@ -6,7 +6,7 @@
 from gevent.event import Event
 from loguru import logger
 
-from ..clock import Clock, repeat
+from ..clock import Clock, run_periodically
 from ..errors import GentianmuxError, LogError
 from ..memory_log import KeyedLog
 from ..metrics import Metrics
@@ -121,7 +121,7 @@
 
     def run(self) -> None:
         """Follow the store for as long as the process lives."""
-        repeat(0.0, self.follow_once)
+        run_periodically(0.0, self.follow_once)
 
     def follow_once(self) -> None:
         """Take in what has come since the last call, waiting for it."""
--- a/src/gentianmux/leased/directory.py
+++ b/src/gentianmux/leased/directory.py
@@ -8,7 +8,7 @@
 import gevent
 from loguru import logger
 
-from ..clock import repeat
+from ..clock import run_periodically
 from ..errors import LogError
 from ..memory_log import KeyedLog
 from ..metrics import Metrics
@@ -144,7 +144,7 @@
 
     def follow(self) -> None:
         """Hand on every announcement, for as long as the process lives."""
-        repeat(0.0, self.follow_once)
+        run_periodically(0.0, self.follow_once)
 
     def follow_once(self) -> None:
         """Hand on what has come since the last call, waiting for it."""
--- a/src/gentianmux/leased/endpoint_looks.py
+++ b/src/gentianmux/leased/endpoint_looks.py
@@ -7,7 +7,7 @@
 from gevent.event import Event
 from loguru import logger
 
-from ..clock import Clock, repeat
+from ..clock import Clock, run_periodically
 from ..metrics import Metrics
 from .model import EndpointDriver, EndpointGone, EndpointStartedAgain, HoldReply, NoAnswer
 from .run_table import Finished, RunTable
@@ -129,7 +129,7 @@
 
     def run(self) -> None:
         """Look for as long as the process lives."""
-        repeat(0.0, self._look_or_pause)
+        run_periodically(0.0, self._look_or_pause)
 
     def _look_or_pause(self) -> None:
         self._attached.wait()
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -5,7 +5,7 @@
 import gevent
 from loguru import logger
 
-from ..clock import Clock, repeat
+from ..clock import Clock, run_periodically
 from ..messages import (
     AgentLoad,
     ConfigPiece,
@@ -21,8 +21,8 @@
 from .admitting import Admitting
 from .chain import ECHO_GAP_S
 from .config_feed import ConfigFeed
-from .config_handing import ConfigHanding
-from .entry_board import EntryBoard
+from .config_transfer import ConfigHanding
+from .entry_board import EntryContext
 from .evacuation_sharing import EvacuationSharing
 from .evacuations import Evacuations
 from .fleet_view import FleetView
@@ -82,7 +82,7 @@
         clock: Clock,
         link_bytes_s: float = 0.0,
     ) -> None:
-        self._ctx = EntryBoard(view, links, feed, metrics, clock, link_bytes_s)
+        self._ctx = EntryContext(view, links, feed, metrics, clock, link_bytes_s)
         self._handing = ConfigHanding(feed, links, clock)
         self._sharing = EvacuationSharing(feed.evacuations, links, self._on_evacuations)
         self._ends = RunEnds(self._ctx)
@@ -233,8 +233,8 @@
     def run_loops(self) -> list[gevent.Greenlet]:
         """Spawn the loops of this controller."""
         return [
-            gevent.spawn(repeat, 0.0, self._step_and_rest),
-            gevent.spawn(repeat, LOSS_CHECK_S, self.check_losses),
+            gevent.spawn(run_periodically, 0.0, self._step_and_rest),
+            gevent.spawn(run_periodically, LOSS_CHECK_S, self.check_losses),
         ]
 
     def _step_and_rest(self) -> None:
--- a/src/gentianmux/leased/entry_board.py
+++ b/src/gentianmux/leased/entry_board.py
@@ -24,7 +24,7 @@
 """Seconds until a refused caller may try again: the work ahead of it is over by then."""
 
 
-class EntryBoard:
+class EntryContext:
     """Read and written by all controllers of an entry.
 
     Parameters
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -281,7 +281,7 @@
         """Sort key of agents with room: the faster first, then the emptier, then by lot."""
         slowness = round(max(agent.slowness, 1.0) / SLOWNESS_STEP)
         capacity = _capacity_of(agent)
-        busy = capacity.minus(agent.free).share_of(capacity)
+        busy = capacity.minus(agent.free).dominant_share(capacity)
         return slowness, busy, self._rng.random()
 
 
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -8,7 +8,7 @@
 from .admission import Admission
 from .candidates import Candidates
 from .claiming import signature
-from .entry_board import EntryBoard
+from .entry_board import EntryContext
 from .fleet_view import AgentView, Wish
 from .job_state import TASK_BYTES, JobState, TaskState
 from .model import RunOutcome
@@ -32,7 +32,7 @@
 
     Parameters
     ----------
-    ctx : EntryBoard
+    ctx : EntryContext
         The jobs and the agents.
     ends : RunEnds
         Takes back what could not be sent.
@@ -45,7 +45,7 @@
     """
 
     def __init__(
-        self, ctx: EntryBoard, ends: RunEnds, admissions: defaultdict[str, Admission]
+        self, ctx: EntryContext, ends: RunEnds, admissions: defaultdict[str, Admission]
     ) -> None:
         self._ctx = ctx
         self._ends = ends
--- a/src/gentianmux/leased/process.py
+++ b/src/gentianmux/leased/process.py
@@ -9,7 +9,7 @@
 from gevent.event import Event
 from loguru import logger
 
-from ..clock import Clock, repeat
+from ..clock import Clock, run_periodically
 from ..codes import ResultCode
 from ..errors import GentianmuxError
 from ..http_server import HttpServer
@@ -149,7 +149,7 @@
     _resume_endpoint(agent, found, base.cfg)
     neighbours = EntryNeighbours(base.cfg.name, base.links, agent, directory, base.clock)
     neighbours.learn(found)
-    repeat(SETTLE_S, neighbours.step)
+    run_periodically(SETTLE_S, neighbours.step)
 
 
 def _resume_endpoint(agent: "Agent", known: list[Announcement], cfg: LeasedSettings) -> None:
--- a/src/gentianmux/leased/resources.py
+++ b/src/gentianmux/leased/resources.py
@@ -37,7 +37,7 @@
         """Whether a need fits into this."""
         return need.cpu <= self.cpu and need.mem_mb <= self.mem_mb and need.gpu <= self.gpu
 
-    def share_of(self, capacity: "Room") -> float:
+    def dominant_share(self, capacity: "Room") -> float:
         """The largest part that this is of a capacity, over its kinds of resource."""
         parts = [mine / all_ for mine, all_ in zip(self, capacity, strict=True) if all_ > 0]
         return max(parts, default=0.0)
--- a/src/gentianmux/leased/run_ends.py
+++ b/src/gentianmux/leased/run_ends.py
@@ -3,7 +3,7 @@
 from loguru import logger
 
 from ..messages import Holding, RunRef, Withdraw
-from .entry_board import EntryBoard
+from .entry_board import EntryContext
 from .job_state import Outcome
 from .model import RunOutcome, instance_of
 from .ticket import Verdict
@@ -17,7 +17,7 @@
 
     Parameters
     ----------
-    ctx : EntryBoard
+    ctx : EntryContext
         The jobs and where their runs are.
 
     Attributes
@@ -26,7 +26,7 @@
         When the present connection of each agent's process was opened.
     """
 
-    def __init__(self, ctx: EntryBoard) -> None:
+    def __init__(self, ctx: EntryContext) -> None:
         self.opened_at: dict[str, float] = {}
         self._ctx = ctx
 
--- a/src/gentianmux/shard_moves.py
+++ b/src/gentianmux/shard_moves.py
@@ -40,7 +40,7 @@
 
     def __init__(self, ctx: NodeContext, shard_manager: "ShardKeeper") -> None:
         self._ctx = ctx
-        self._keeper = shard_manager
+        self._shard_manager = shard_manager
         self._incoming: dict[int, Incoming] = {}
 
     def received_ledger(self, number: int, row: Shard, bounds: LedgerBounds) -> Ledger | None:
@@ -63,17 +63,17 @@
         """Move shards to the agents that rendezvous hashing prefers, a few at a time."""
         if self._ctx.draining:
             return
-        agents = self._keeper.live_agents()
-        moving = sum(1 for owned in self._keeper.owned.values() if owned.moving_to)
-        for number in list(self._keeper.owned):
+        agents = self._shard_manager.live_agents()
+        moving = sum(1 for owned in self._shard_manager.owned.values() if owned.moving_to)
+        for number in list(self._shard_manager.owned):
             if moving >= MOVES_AT_ONCE:
                 return
-            best = self._keeper.best(number, agents)
+            best = self._shard_manager.best(number, agents)
             if best not in (self._ctx.process, NOBODY) and self._begin_move(number, best):
                 moving += 1
 
     def _begin_move(self, number: int, target: str) -> bool:
-        owned = self._keeper.owned[number]
+        owned = self._shard_manager.owned[number]
         row = self._ctx.fleet.shards[number]
         if owned.moving_to or not owned.lease.is_valid(row, self._ctx.now()):
             return False
@@ -87,7 +87,7 @@
 
     def _send_ledger(self, number: int, owned: "OwnedShard", row: Shard, move: int) -> None:
         """Send the ledger once its jobs have ended; the reply leads to the record."""
-        if self._keeper.owned.get(number) is not owned or owned.move != move:
+        if self._shard_manager.owned.get(number) is not owned or owned.move != move:
             return
         if owned.ledger.has_running():
             self._ctx.clock.call_later(MOVE_POLL_S, self._send_ledger, number, owned, row, move)
@@ -121,7 +121,7 @@
 
     def on_handover_reply(self, msg: HandoverReply, sender: str) -> None:
         """Append the record of a planned move, once its target holds the ledger."""
-        owned = self._keeper.owned.get(msg.shard)
+        owned = self._shard_manager.owned.get(msg.shard)
         row = self._ctx.fleet.shards[msg.shard]
         if owned is None or (row.base, owned.move) != (msg.base, msg.move):
             return
@@ -130,28 +130,28 @@
         if not msg.taken:
             self._call_off(owned)
             return
-        heir = self._keeper.heir_for(msg.shard, sender)
+        heir = self._shard_manager.heir_for(msg.shard, sender)
         change = ShardChange(msg.shard, row.base, heir)
         record = Handover(self._ctx.process, sender, self._ctx.now_ms(), [change])
-        self._keeper.append_change(record)
+        self._shard_manager.append_change(record)
 
     def release_all(self) -> None:
         """Move every shard away, since this agent is leaving."""
-        agents = [each for each in self._keeper.live_agents() if each != self._ctx.process]
-        for number in list(self._keeper.owned):
-            target = self._keeper.best(number, agents)
+        agents = [each for each in self._shard_manager.live_agents() if each != self._ctx.process]
+        for number in list(self._shard_manager.owned):
+            target = self._shard_manager.best(number, agents)
             if target != NOBODY:
                 self._begin_move(number, target)
-            row, owned = self._ctx.fleet.shards[number], self._keeper.owned[number]
-            self._keeper.is_pending(number, owned, row, self._ctx.now())
+            row, owned = self._ctx.fleet.shards[number], self._shard_manager.owned[number]
+            self._shard_manager.is_pending(number, owned, row, self._ctx.now())
 
     def has_target(self) -> bool:
         """Whether any live agent could take this one's shards."""
-        return any(agent != self._ctx.process for agent in self._keeper.live_agents())
+        return any(agent != self._ctx.process for agent in self._shard_manager.live_agents())
 
     def records_target(self) -> str:
         """Who shall hold this agent's start records once it has left."""
-        return self._keeper.heir_for(0, self._ctx.process)
+        return self._shard_manager.heir_for(0, self._ctx.process)
 
 
 def _handover_parts(
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -2,7 +2,7 @@
 
 import gevent
 
-from gentianmux.clock import repeat
+from gentianmux.clock import run_periodically
 
 
 def test_a_step_that_fails_does_not_end_the_repetition() -> None:
@@ -13,7 +13,7 @@
         if len(calls) == 1:
             raise KeyError("once")
 
-    loop = gevent.spawn(repeat, 0.001, step)
+    loop = gevent.spawn(run_periodically, 0.001, step)
     with gevent.Timeout(5):
         while len(calls) < 3:
             gevent.sleep(0.001)
