--- a/bench/world.py
+++ b/bench/world.py
@@ -28,7 +28,7 @@
 from gentianmux.node_context import NodeContext
 from gentianmux.placement import Placement
 from gentianmux.settings import Settings
-from gentianmux.shard_keeper import ShardManager
+from gentianmux.shard_manager import ShardManager
 from gentianmux.start_records import JobRecord, TaskRecord
 from gentianmux.witness import Witness
 
--- a/src/gentianmux/leased/admitting.py
+++ b/src/gentianmux/leased/admitting.py
@@ -11,7 +11,7 @@
     retry_after_s,
     wait_s,
 )
-from .entry_board import EntryContext
+from .entry_context import EntryContext
 from .job_state import JobState, Prospect
 
 NO_AGENT_S = 0.5
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -26,10 +26,10 @@
 from .chain import REPORT_S
 from .config_feed import ConfigFeed
 from .config_transfer import ConfigHanding
-from .endpoint_looks import EndpointLooks, LookHooks
+from .endpoint_poller import EndpointLooks, LookHooks
 from .endpoint_tracker import EndpointTracker, TrackerHooks
 from .entry_reports import EntryReports, Load
-from .evacuation_sharing import EvacuationSharing
+from .evacuation_broadcast import EvacuationSharing
 from .evacuations import Evacuations
 from .grants import LATE_RESERVE
 from .health import EndpointHealth
--- a/src/gentianmux/leased/agent_context.py
+++ b/src/gentianmux/leased/agent_context.py
@@ -5,7 +5,7 @@
 from ..clock import Clock
 from ..metrics import Metrics
 from .config_feed import ConfigFeed
-from .endpoint_looks import EndpointLooks
+from .endpoint_poller import EndpointLooks
 from .endpoint_tracker import EndpointTracker
 from .entry_reports import EntryReports
 from .health import EndpointHealth
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -22,8 +22,8 @@
 from .chain import ECHO_GAP_S
 from .config_feed import ConfigFeed
 from .config_transfer import ConfigHanding
-from .entry_board import EntryContext
-from .evacuation_sharing import EvacuationSharing
+from .entry_context import EntryContext
+from .evacuation_broadcast import EvacuationSharing
 from .evacuations import Evacuations
 from .fleet_view import FleetView
 from .job_state import JobState, Outcome, longest_chain_s
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -8,7 +8,7 @@
 from .admission import Admission
 from .candidates import Candidates
 from .claiming import signature
-from .entry_board import EntryContext
+from .entry_context import EntryContext
 from .fleet_view import AgentView, Wish
 from .job_state import TASK_BYTES, JobState, TaskState
 from .model import RunOutcome
--- a/src/gentianmux/leased/run_ends.py
+++ b/src/gentianmux/leased/run_ends.py
@@ -3,7 +3,7 @@
 from loguru import logger
 
 from ..messages import Holding, RunRef, Withdraw
-from .entry_board import EntryContext
+from .entry_context import EntryContext
 from .job_state import Outcome
 from .model import RunOutcome, instance_of
 from .ticket import Verdict
--- a/src/gentianmux/log_watch.py
+++ b/src/gentianmux/log_watch.py
@@ -10,7 +10,7 @@
 from .memory_log import Record
 from .messages import LogRecord, StateBody, StatePull
 from .node_context import NodeContext
-from .shard_keeper import rendezvous
+from .shard_manager import rendezvous
 
 ANNOUNCE_AGAIN_S = 2.0
 FROM_LOG = "log"
--- a/src/gentianmux/node.py
+++ b/src/gentianmux/node.py
@@ -21,7 +21,7 @@
 from .peers import Peers
 from .placement import Placement
 from .settings import Settings
-from .shard_keeper import ShardManager
+from .shard_manager import ShardManager
 from .witness import Witness
 
 UPKEEP_S = 1.0
--- a/src/gentianmux/node_context.py
+++ b/src/gentianmux/node_context.py
@@ -23,7 +23,7 @@
     from .log_watch import LogWatch
     from .peers import Peers
     from .placement import Placement
-    from .shard_keeper import ShardManager
+    from .shard_manager import ShardManager
     from .witness import Witness
 
 
--- a/src/gentianmux/shard_moves.py
+++ b/src/gentianmux/shard_moves.py
@@ -10,7 +10,7 @@
 from .node_context import NodeContext
 
 if TYPE_CHECKING:
-    from .shard_keeper import OwnedShard, ShardManager
+    from .shard_manager import OwnedShard, ShardManager
 
 HANDOVER_PART = 500
 MOVES_AT_ONCE = 4
--- a/src/gentianmux/witness.py
+++ b/src/gentianmux/witness.py
@@ -6,7 +6,7 @@
 from .membership import State
 from .messages import MemberUpdate
 from .node_context import NodeContext
-from .shard_keeper import rendezvous
+from .shard_manager import rendezvous
 
 WITNESSES = 2
 REPEAT_S = 2.0
