--- a/bench/world.py
+++ b/bench/world.py
@@ -20,7 +20,7 @@
 from gentianmux.follower import Follower
 from gentianmux.handlers import handle
 from gentianmux.ids import NO_TIME, shard_of
-from gentianmux.log_watch import LogWatch
+from gentianmux.log_watch import StreamReader
 from gentianmux.membership import State
 from gentianmux.memory_log import MemoryLog, Record
 from gentianmux.messages import Answer, MemberUpdate, Message, Submit, Task
@@ -166,7 +166,7 @@
         self._world = world
         executor.launch = self._launch  # type: ignore[method-assign]
         Witness(self.ctx)
-        self.watch = LogWatch(self.ctx)
+        self.watch = StreamReader(self.ctx)
         self.paused = False
         self.dead = False
         self.silent_since: float | None = None
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -26,7 +26,7 @@
 from .chain import REPORT_S
 from .config_feed import ConfigFeed
 from .config_transfer import ConfigHanding
-from .endpoint_poller import EndpointLooks, LookHooks
+from .endpoint_poller import EndpointPoller, LookHooks
 from .endpoint_tracker import EndpointTracker, TrackerHooks
 from .entry_reports import EntryReports, Load
 from .evacuation_broadcast import EvacuationSharing
@@ -110,7 +110,7 @@
             self._on_looked,
             self._on_silence,
         )
-        ctx.looks = EndpointLooks(driver, ctx.table, metrics, clock, ctx.lease_s, hooks)
+        ctx.looks = EndpointPoller(driver, ctx.table, metrics, clock, ctx.lease_s, hooks)
         ctx.reports = EntryReports(links, clock, self._load, ctx.has_runs_of)
         self._chain = ctx.reports.chain
         links.on_open = self._on_open
@@ -130,7 +130,7 @@
         return self._ctx.tracker
 
     @property
-    def looks(self) -> EndpointLooks:
+    def looks(self) -> EndpointPoller:
         """What looks at the endpoint."""
         return self._ctx.looks
 
--- a/src/gentianmux/leased/agent_context.py
+++ b/src/gentianmux/leased/agent_context.py
@@ -5,7 +5,7 @@
 from ..clock import Clock
 from ..metrics import Metrics
 from .config_feed import ConfigFeed
-from .endpoint_poller import EndpointLooks
+from .endpoint_poller import EndpointPoller
 from .endpoint_tracker import EndpointTracker
 from .entry_reports import EntryReports
 from .health import EndpointHealth
@@ -45,12 +45,12 @@
         Whether the process was told to stop.
     leaves_at : float
         When it will then have to have ended.
-    tracker, looks, reports : EndpointTracker, EndpointLooks, EntryReports
+    tracker, looks, reports : EndpointTracker, EndpointPoller, EntryReports
         Set by the agent, whose methods they call.
     """
 
     tracker: EndpointTracker
-    looks: EndpointLooks
+    looks: EndpointPoller
     reports: EntryReports
 
     def __init__(
--- a/src/gentianmux/leased/endpoint_poller.py
+++ b/src/gentianmux/leased/endpoint_poller.py
@@ -62,7 +62,7 @@
     silent: Callable[[bool], None]
 
 
-class EndpointLooks:
+class EndpointPoller:
     """Looks at one life of the endpoint after the other, again and again.
 
     Parameters
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -87,7 +87,7 @@
         self._sharing = EvacuationSharing(feed.evacuations, links, self._on_evacuations)
         self._ends = RunEnds(self._ctx)
         self._admitting = Admitting(self._ctx)
-        self._placing = Placing(self._ctx, self._ends, self._admitting.admissions)
+        self._placer = Placing(self._ctx, self._ends, self._admitting.admissions)
         self.leaving = False
         self._leaves_at = float("inf")
         self._idle_since: float | None = None
@@ -121,7 +121,7 @@
         self._ctx.backlog.put(job)
         self._ctx.metrics.count("jobs_admitted")
         self._admitting.admissions[queue.service].arrived(job, now)
-        self._placing.place()
+        self._placer.place()
         return ticket
 
     def now(self) -> float:
@@ -159,7 +159,7 @@
         self._ctx.window.told(agent, msg.applied, now)
         self._handing.heard_of(agent, msg.config_version)
         if view.free.cpu > 0:
-            self._placing.call_soon()
+            self._placer.call_soon()
         # Room that is granted to what no longer waits is for another entry.
         gives_back = not self._ctx.backlog and bool(view.told)
         if gives_back or self._ctx.clock.now() - view.echoed_at >= ECHO_GAP_S:
@@ -173,11 +173,11 @@
         view.heard_at = self._ctx.clock.now()
         if before != msg:
             logger.bind(
-                peer=agent, endpoint=msg.life, accepting=msg.accepting, service=msg.service
+                peer=agent, endpoint=msg.incarnation, accepting=msg.accepting, service=msg.service
             ).info("endpoint state")
         if msg.accepting:
             self._ends.lose_earlier_lives(agent)
-        self._placing.call_soon()
+        self._placer.call_soon()
 
     @on_message.register
     def _(self, msg: EndedRuns, agent: str) -> None:
@@ -189,7 +189,7 @@
         if view.is_leaving:
             # It ends once its last runs are acknowledged.
             self._ctx.echo(view)
-        self._placing.call_soon()
+        self._placer.call_soon()
 
     @on_message.register
     def _(self, msg: Holding, agent: str) -> None:
@@ -209,7 +209,7 @@
 
     def _on_evacuations(self, evacuations: Evacuations) -> None:
         self._ctx.view.evacuated = evacuations.failure_domains
-        self._placing.call_soon()
+        self._placer.call_soon()
 
     # Losses
 
@@ -258,7 +258,7 @@
         self._correct_window(now)
         if self._ctx.backlog:
             self._admitting.decide(now)
-            self._placing.place()
+            self._placer.place()
 
     def _correct_window(self, now: float) -> None:
         window = self._ctx.window
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -264,7 +264,7 @@
 
     def _suits(self, agent: AgentView, wish: Wish) -> bool:
         state = agent.state
-        if state is None or state.life in wish.avoid or state.life in wish.full:
+        if state is None or state.incarnation in wish.avoid or state.incarnation in wish.full:
             return False
         if wish.estimate_ms > agent.longest_ms:
             return False
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -147,7 +147,7 @@
             agent = agent or candidates.take(wish)
             if agent is None or agent.state is None:
                 return False
-            run = job.assign(task, agent.process, agent.state.life, now)
+            run = job.assign(task, agent.process, agent.state.incarnation, now)
             step = job.step_of(task)
             number = agent.assigned + 1
             agent.reserve(number, step.need)
@@ -173,7 +173,7 @@
     def _avoided(self, job: JobState, task: TaskState, now: float) -> frozenset[str]:
         """Lives on which a task ended badly, unless no others serve its service."""
         willing = self._ctx.view.willing(job.queue.service, now)
-        others = any(a.state is not None and a.state.life not in task.avoid for a in willing)
+        others = any(a.state is not None and a.state.incarnation not in task.avoid for a in willing)
         return frozenset(task.avoid) if others else frozenset()
 
     def _assign(self, process: str, tasks: list[LeasedTask]) -> None:
--- a/src/gentianmux/log_watch.py
+++ b/src/gentianmux/log_watch.py
@@ -16,7 +16,7 @@
 FROM_LOG = "log"
 
 
-class LogWatch:
+class StreamReader:
     """The controller that keeps the board's folded states up to date.
 
     Parameters
--- a/src/gentianmux/messages.py
+++ b/src/gentianmux/messages.py
@@ -462,7 +462,7 @@
     born: int = 0
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """Names one life of the endpoint: what is held against it ends when it starts again."""
         return f"{self.endpoint}@{self.born}" if self.born else self.endpoint
 
--- a/src/gentianmux/node.py
+++ b/src/gentianmux/node.py
@@ -15,7 +15,7 @@
 from .handlers import handle, on_lost
 from .http_server import HttpServer
 from .log_client import HttpLog
-from .log_watch import LogWatch
+from .log_watch import StreamReader
 from .memory_log import PlatformLog
 from .node_context import NodeContext
 from .peers import Peers
@@ -66,7 +66,7 @@
         self.ctx = NodeContext(cfg, announce(cfg), log or HttpLog(cfg.log_url))
         self.peers = Peers(self.ctx, handle, lambda name, conn: on_lost(name, conn, self.ctx))
         self.gossip = GossipServer(self.ctx)
-        self.watch = LogWatch(self.ctx)
+        self.watch = StreamReader(self.ctx)
         self.witness = Witness(self.ctx)
         self.ctx.members.on_change = self.witness.on_change
         if self.ctx.is_agent:
--- a/src/gentianmux/node_context.py
+++ b/src/gentianmux/node_context.py
@@ -20,7 +20,7 @@
     from .coordinator import Coordinator
     from .dispatcher import Dispatcher
     from .executor import Executor
-    from .log_watch import LogWatch
+    from .log_watch import StreamReader
     from .peers import Peers
     from .placement import Placement
     from .shard_manager import ShardManager
--- a/src/gentianmux/placement.py
+++ b/src/gentianmux/placement.py
@@ -42,7 +42,7 @@
         self._pools: dict[str, list[Join]] = {}
         self._pools_at = -2
         self._ctx = ctx
-        self._placing = False
+        self._placer = False
 
     def refusal(self, service: str, member: str, specs: list[TaskSpec]) -> ResultCode | None:
         """Why a job cannot be placed at all; None when it can."""
@@ -258,13 +258,13 @@
 
     def place_soon(self) -> None:
         """Place the backlog once for all results that arrive together."""
-        if self.backlog and not self._placing:
-            self._placing = True
+        if self.backlog and not self._placer:
+            self._placer = True
             self._ctx.clock.call_soon(self.place_backlog)
 
     def place_backlog(self) -> None:
         """Place what waits, least work left first."""
-        self._placing = False
+        self._placer = False
         full: set[str] = set()
         for job in sorted(self.backlog.values(), key=self._urgency):
             if job.service in full:
--- a/src/gentianmux/platform/endpoint.py
+++ b/src/gentianmux/platform/endpoint.py
@@ -20,7 +20,7 @@
 )
 from ..leased.resources import Resources
 from ..typed_json import number, read_object, table, text, texts, whole
-from .http_call import HttpCaller, HttpReply
+from .http_client import HttpCaller, HttpReply
 
 START_S = 0.08
 """Seconds for the answer to a start or stop; it takes some 2 ms, and 15 on a slowed machine. One
--- a/src/gentianmux/platform/store.py
+++ b/src/gentianmux/platform/store.py
@@ -11,7 +11,7 @@
 from ..errors import LogError
 from ..leased.model import NoAnswer
 from ..memory_log import Changes, Newest
-from .http_call import HttpCaller, HttpReply
+from .http_client import HttpCaller, HttpReply
 
 CALL_S = 1.0
 """Seconds for one call; the store answers within some 20 ms when it is well, and 50 times slower
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -46,7 +46,7 @@
 from gentianmux.leased.run_table import RunTable
 from gentianmux.messages import Assign, LeasedTask
 from gentianmux.platform.endpoint import PlatformEndpoint, read_farewell, read_report
-from gentianmux.platform.http_call import HttpReply
+from gentianmux.platform.http_client import HttpReply
 from standins.platform_endpoint import PlatformEndpointApp
 
 COMPLETED = b'{"state": "completed"}'
@@ -571,7 +571,7 @@
     agent = view.agents["a.1"]
     assert agent.state is not None
     agent.state = agent.state._replace(born=100)
-    wish = Wish("s", Resources(1600, 64), avoid=frozenset({agent.state.life}))
+    wish = Wish("s", Resources(1600, 64), avoid=frozenset({agent.state.incarnation}))
     assert view.choose(wish, view.willing("s", 1.0)) is None
     agent.state = agent.state._replace(born=200)
     assert view.choose(wish, view.willing("s", 1.0)) is agent
--- a/tests/test_leased_links.py
+++ b/tests/test_leased_links.py
@@ -15,7 +15,7 @@
 from gentianmux.leased.settings import LeasedSettings
 from gentianmux.messages import PROTOCOL_VERSION, Hello, LoadEcho, Message
 from gentianmux.metrics import Metrics
-from gentianmux.platform.http_call import DOUBTED_AFTER, HttpCaller
+from gentianmux.platform.http_client import DOUBTED_AFTER, HttpCaller
 from gentianmux.settings import Settings
 
 
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -418,7 +418,7 @@
         view._pending.clear()
         view.offer(ENDPOINT_ROOM)
         view.heard_at = world.time
-    entry._placing.place()
+    entry._placer.place()
     assert not late.ticket.job.began
 
 
