--- a/bench/leased_world.py
+++ b/bench/leased_world.py
@@ -17,9 +17,9 @@
 from gentianmux.clock import Clock
 from gentianmux.codec import encode
 from gentianmux.leased.agent import UPKEEP_S, Agent
-from gentianmux.leased.chain import REPORT_S
 from gentianmux.leased.config_feed import ConfigFeed, ConfigSource
 from gentianmux.leased.entry import LOSS_CHECK_S, STEP_S, Entry
+from gentianmux.leased.entry_leases import REPORT_S
 from gentianmux.leased.fleet_view import FleetView
 from gentianmux.leased.model import (
     EndpointReport,
--- a/bench/world.py
+++ b/bench/world.py
@@ -20,7 +20,6 @@
 from gentianmux.follower import Follower
 from gentianmux.handlers import handle
 from gentianmux.ids import NO_TIME, shard_of
-from gentianmux.log_watch import StreamReader
 from gentianmux.membership import State
 from gentianmux.memory_log import MemoryLog, Record
 from gentianmux.messages import Answer, MemberUpdate, Message, Submit, Task
@@ -30,6 +29,7 @@
 from gentianmux.settings import Settings
 from gentianmux.shard_manager import ShardManager
 from gentianmux.start_records import JobRecord, TaskRecord
+from gentianmux.stream_reader import StreamReader
 from gentianmux.witness import Witness
 
 EPOCH_MS = 1_700_000_000_000
--- a/src/gentianmux/frames.py
+++ b/src/gentianmux/frames.py
@@ -12,7 +12,7 @@
 _LENGTH = struct.Struct("!I")
 
 
-def seal(body: bytes, key: bytes = b"") -> bytes:
+def add_digest(body: bytes, key: bytes = b"") -> bytes:
     """Put a keyed digest before a message body."""
     return blake2b(body, digest_size=DIGEST_BYTES, key=key).digest() + body
 
@@ -29,14 +29,14 @@
         ``BAD_FRAME`` when the digest does not match.
     """
     body = sealed[DIGEST_BYTES:]
-    if seal(body, key) != sealed:
+    if add_digest(body, key) != sealed:
         raise FrameError(ResultCode.BAD_FRAME, "the digest does not match")
     return body
 
 
 def pack(body: bytes, key: bytes = b"") -> bytes:
     """Make a frame of a message body."""
-    sealed = seal(body, key)
+    sealed = add_digest(body, key)
     return _LENGTH.pack(len(sealed)) + sealed
 
 
--- a/src/gentianmux/gossip.py
+++ b/src/gentianmux/gossip.py
@@ -7,7 +7,7 @@
 
 from .codec import decode, encode
 from .errors import FrameError
-from .frames import seal, unseal
+from .frames import add_digest, unseal
 from .membership import Outgoing
 from .messages import Gossip
 from .node_context import NodeContext
@@ -59,10 +59,10 @@
     def send(self, outgoing: list[Outgoing]) -> None:
         """Send datagrams; one that cannot be sent is as good as lost."""
         for each in outgoing:
-            data = seal(encode(each.gossip), self._key)
+            data = add_digest(encode(each.gossip), self._key)
             while len(data) > MAX_DATAGRAM:
                 each = each._replace(gossip=_shorter(each.gossip))
-                data = seal(encode(each.gossip), self._key)
+                data = add_digest(encode(each.gossip), self._key)
             ip, _, port = each.address.partition(":")
             self._ctx.metrics.count("datagrams_out")
             self._ctx.metrics.count("datagram_bytes", len(data))
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -23,11 +23,11 @@
 )
 from ..metrics import Metrics
 from .agent_context import AgentContext
-from .chain import REPORT_S
 from .config_feed import ConfigFeed
 from .config_transfer import ConfigHanding
 from .endpoint_poller import EndpointPoller, LookHooks
 from .endpoint_tracker import EndpointTracker, TrackerHooks
+from .entry_leases import REPORT_S
 from .entry_reports import EntryReports, Load
 from .evacuation_broadcast import EvacuationSharing
 from .evacuations import Evacuations
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -19,10 +19,10 @@
 )
 from ..metrics import Metrics
 from .admitting import Admitting
-from .chain import ECHO_GAP_S
 from .config_feed import ConfigFeed
 from .config_transfer import ConfigHanding
 from .entry_context import EntryContext
+from .entry_leases import ECHO_GAP_S
 from .evacuation_broadcast import EvacuationSharing
 from .evacuations import Evacuations
 from .fleet_view import FleetView
@@ -89,7 +89,7 @@
         self._admitting = Admitting(self._ctx)
         self._placer = Placing(self._ctx, self._ends, self._admitting.admissions)
         self.leaving = False
-        self._leaves_at = float("inf")
+        self._shutdown_at = float("inf")
         self._idle_since: float | None = None
         links.on_open = self._on_open
         links.on_close = self._on_close
@@ -272,7 +272,7 @@
 
     def takes(self, spec: JobSpec) -> bool:
         """Whether a job can be expected to end before this process does."""
-        return ends_in_time(longest_chain_s(spec), self._leaves_at - self._ctx.clock.now())
+        return ends_in_time(longest_chain_s(spec), self._shutdown_at - self._ctx.clock.now())
 
     def leave(self, linger_s: float, until: float) -> None:
         """Take what can still end before ``until``, for ``linger_s`` at least, and answer all.
@@ -283,14 +283,14 @@
         gevent.sleep(linger_s)
         while not self.has_left() and self._ctx.clock.now() < until:
             gevent.sleep(LEAVE_CHECK_S)
-        self._leaves_at = self._ctx.clock.now()
+        self._shutdown_at = self._ctx.clock.now()
         for ticket in list(self._ctx.jobs.values()):
             self._ctx.give_up(ticket.job, "the entry ends")
 
     def begin_leaving(self, until: float) -> None:
         """Take only what can be expected to end before ``until``."""
         self.leaving = True
-        self._leaves_at = until
+        self._shutdown_at = until
 
     def has_left(self) -> bool:
         """Whether no job has been here for a while; from then on none is taken.
@@ -305,5 +305,5 @@
             self._idle_since = now
         if now - self._idle_since < LAST_REQUESTS_S:
             return False
-        self._leaves_at = now
+        self._shutdown_at = now
         return True
--- a/src/gentianmux/leased/entry_reports.py
+++ b/src/gentianmux/leased/entry_reports.py
@@ -5,7 +5,7 @@
 
 from ..clock import Clock
 from ..messages import AgentLoad, Claim, EndedRun, EndedRuns
-from .chain import IDLE_REPORT_S, REPORT_S, AgentSide
+from .entry_leases import IDLE_REPORT_S, REPORT_S, AgentSide
 from .grants import GRANT_S, Grants
 from .links import Links
 from .model import RunOutcome
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -6,8 +6,8 @@
 from typing import NamedTuple
 
 from ..messages import AgentLoad, EndpointState
-from .chain import CHAIN_S, surely_over
 from .claiming import Signature
+from .entry_leases import CHAIN_S, surely_over
 from .leaving import NO_BOUND_MS
 from .model import instance_of
 from .resources import NO_RESOURCES, Resources
--- a/src/gentianmux/leased/send_window.py
+++ b/src/gentianmux/leased/send_window.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from .chain import REPORT_S
+from .entry_leases import REPORT_S
 
 MANY = 4
 """Agents of which one is about to report at any moment: a report comes every 0.125 s."""
--- a/src/gentianmux/node.py
+++ b/src/gentianmux/node.py
@@ -15,13 +15,13 @@
 from .handlers import handle, on_lost
 from .http_server import HttpServer
 from .log_client import HttpLog
-from .log_watch import StreamReader
 from .memory_log import PlatformLog
 from .node_context import NodeContext
 from .peers import Peers
 from .placement import Placement
 from .settings import Settings
 from .shard_manager import ShardManager
+from .stream_reader import StreamReader
 from .witness import Witness
 
 UPKEEP_S = 1.0
--- a/src/gentianmux/node_context.py
+++ b/src/gentianmux/node_context.py
@@ -20,10 +20,10 @@
     from .coordinator import Coordinator
     from .dispatcher import Dispatcher
     from .executor import Executor
-    from .log_watch import StreamReader
     from .peers import Peers
     from .placement import Placement
     from .shard_manager import ShardManager
+    from .stream_reader import StreamReader
     from .witness import Witness
 
 
--- a/src/gentianmux/platform/endpoint.py
+++ b/src/gentianmux/platform/endpoint.py
@@ -6,7 +6,7 @@
 
 from loguru import logger
 
-from ..leased.chain import CLOCK_DRIFT
+from ..leased.entry_leases import CLOCK_DRIFT
 from ..leased.model import (
     ActiveRun,
     EndpointGone,
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -18,7 +18,7 @@
 
 import gevent
 import pytest
-from platform_nodes import Deployment, job_body, served
+from platform_deployment import Deployment, job_body, served
 from test_leased_parts import fleet
 from test_leased_world import _disturb, assert_kept, outcome, ready_world
 from test_platform_adapter import REPORT, SPEC
--- a/tests/test_leased_links.py
+++ b/tests/test_leased_links.py
@@ -6,7 +6,7 @@
 import gevent
 import pytest
 from nodes import free_port
-from platform_nodes import served
+from platform_deployment import served
 from relay import Relay
 
 from gentianmux.clock import Clock
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -19,7 +19,7 @@
     retry_after_s,
     urgency,
 )
-from gentianmux.leased.chain import CHAIN_S, AgentSide, surely_over
+from gentianmux.leased.entry_leases import CHAIN_S, AgentSide, surely_over
 from gentianmux.leased.fleet_view import LOOKED_AT, FleetView, Wish
 from gentianmux.leased.health import FAILED_IN_A_ROW, EndpointHealth
 from gentianmux.leased.job_state import JobState, Phase, Prospect
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -366,7 +366,7 @@
     short = world.submit("e0", run_s=0.5).spec
     long = world.submit("e0", run_s=4.0).spec
     assert entry.takes(long)
-    entry._leaves_at = world.time + 2.0
+    entry._shutdown_at = world.time + 2.0
     assert entry.takes(short)
     assert not entry.takes(long)
 
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from platform_nodes import CONFIG, served
+from platform_deployment import CONFIG, served
 
 from gentianmux.codes import ResultCode
 from gentianmux.errors import GentianmuxError, LogError
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -9,7 +9,7 @@
 
 import gevent
 import pytest
-from platform_nodes import CONFIG, Deployment, job_body
+from platform_deployment import CONFIG, Deployment, job_body
 
 COMPLETED = b'{"state": "completed"}'
 
