--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -24,7 +24,6 @@
 from gentianmux.frames import pack
 from gentianmux.ledger import Ledger, LedgerBounds
 from gentianmux.membership import Membership, Timing
-from gentianmux.memory_log import Record
 from gentianmux.messages import (
     LeaseRequest,
     MemberUpdate,
@@ -33,6 +32,7 @@
     Task,
     TaskResult,
 )
+from gentianmux.platform_log import Record
 from gentianmux.routing import choose
 from gentianmux.start_records import StartRecords
 
--- a/bench/leased_speed.py
+++ b/bench/leased_speed.py
@@ -33,7 +33,6 @@
     StepSpec,
 )
 from gentianmux.leased.resources import Resources
-from gentianmux.memory_log import MemoryKeyedLog
 from gentianmux.messages import (
     PROTOCOL_VERSION,
     AgentLoad,
@@ -45,6 +44,7 @@
     Message,
 )
 from gentianmux.metrics import Metrics
+from gentianmux.platform_log import MemoryKeyedLog
 from gentianmux.settings import Settings
 
 RESULT = ROOT / "bench" / "results" / "leased_speed.json"
--- a/bench/leased_world.py
+++ b/bench/leased_world.py
@@ -33,9 +33,9 @@
 from gentianmux.leased.resources import Resources
 from gentianmux.leased.settings import LeasedSettings, lease_s
 from gentianmux.leased.ticket import Ticket
-from gentianmux.memory_log import MemoryKeyedLog
 from gentianmux.messages import PROTOCOL_VERSION, Hello, Message
 from gentianmux.metrics import Metrics
+from gentianmux.platform_log import MemoryKeyedLog
 from gentianmux.settings import Settings
 
 QUEUE = QueueConfig("q", "h.example", "/q/", "s", 5000, 60, 0, 3, 1.6)
--- a/bench/world.py
+++ b/bench/world.py
@@ -21,11 +21,11 @@
 from gentianmux.handlers import handle
 from gentianmux.ids import NO_TIME, shard_of
 from gentianmux.membership import State
-from gentianmux.memory_log import MemoryLog, Record
 from gentianmux.messages import Answer, MemberUpdate, Message, Submit, Task
 from gentianmux.node import announce
 from gentianmux.node_context import NodeContext
 from gentianmux.placement import Placement
+from gentianmux.platform_log import MemoryLog, Record
 from gentianmux.settings import Settings
 from gentianmux.shard_manager import ShardManager
 from gentianmux.start_records import JobRecord, TaskRecord
--- a/src/gentianmux/config_state.py
+++ b/src/gentianmux/config_state.py
@@ -4,7 +4,7 @@
 from typing import Any, NamedTuple, cast
 
 from .codes import ResultCode
-from .memory_log import Record, load_object
+from .platform_log import Record, load_object
 from .rules import Fault, MemberItem, ServiceItem, WorkerItem, find_faults
 
 STREAM = "config"
--- a/src/gentianmux/fleet_state.py
+++ b/src/gentianmux/fleet_state.py
@@ -18,7 +18,7 @@
     TakeOver,
     from_json,
 )
-from .memory_log import Record, load_object
+from .platform_log import Record, load_object
 
 STREAM = "fleet"
 NOBODY = ""
--- a/src/gentianmux/follower.py
+++ b/src/gentianmux/follower.py
@@ -6,7 +6,7 @@
 
 from .codes import ResultCode
 from .errors import LogError
-from .memory_log import DEFAULT_READ_LIMIT, PlatformLog, Record
+from .platform_log import DEFAULT_READ_LIMIT, PlatformLog, Record
 
 REMEMBERED_RECORDS = 2000
 
@@ -45,7 +45,7 @@
 
     Examples
     --------
-    >>> from gentianmux.memory_log import MemoryLog
+    >>> from gentianmux.platform_log import MemoryLog
     >>> from gentianmux.config_state import ConfigState
     >>> follower = Follower(MemoryLog(), "config", ConfigState())
     >>> follower.poll()
--- a/src/gentianmux/frames.py
+++ b/src/gentianmux/frames.py
@@ -17,7 +17,7 @@
     return blake2b(body, digest_size=DIGEST_BYTES, key=key).digest() + body
 
 
-def unseal(sealed: bytes, key: bytes = b"") -> bytes:
+def verify_digest(sealed: bytes, key: bytes = b"") -> bytes:
     """Check the digest and return the message body.
 
     The codec must not see bytes that no peer made: an error inside it, raised in a greenlet,
@@ -81,6 +81,6 @@
         end = start + _LENGTH.size + length
         if len(buffer) < end:
             break
-        yield unseal(bytes(buffer[start + _LENGTH.size : end]), key)
+        yield verify_digest(bytes(buffer[start + _LENGTH.size : end]), key)
         start = end
     del buffer[:start]
--- a/src/gentianmux/gossip.py
+++ b/src/gentianmux/gossip.py
@@ -7,7 +7,7 @@
 
 from .codec import decode, encode
 from .errors import FrameError
-from .frames import add_digest, unseal
+from .frames import add_digest, verify_digest
 from .membership import Outgoing
 from .messages import Gossip
 from .node_context import NodeContext
@@ -73,7 +73,7 @@
 
     def _take(self, data: bytes, address: Any) -> None:
         try:
-            msg = decode(unseal(data, self._key))
+            msg = decode(verify_digest(data, self._key))
         except FrameError:
             self._ctx.metrics.count("bad_frames")
             return
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -24,7 +24,7 @@
 from ..metrics import Metrics
 from .agent_context import AgentContext
 from .config_feed import ConfigFeed
-from .config_transfer import ConfigHanding
+from .config_transfer import ConfigTransfer
 from .endpoint_poller import EndpointPoller, LookHooks
 from .endpoint_tracker import EndpointTracker, TrackerHooks
 from .entry_leases import REPORT_S
@@ -93,7 +93,7 @@
     ) -> None:
         ctx = AgentContext(cfg, driver, links, feed, metrics, clock)
         self._ctx = ctx
-        self._handing = ConfigHanding(feed, links, clock)
+        self._handing = ConfigTransfer(feed, links, clock)
         self._sharing = EvacuationSharing(feed.evacuations, links, self._on_evacuations)
         self._idle_since: float | None = None
         self.on_endpoint: Callable[[EndpointReport | None], None] = lambda report: None
--- a/src/gentianmux/leased/config_feed.py
+++ b/src/gentianmux/leased/config_feed.py
@@ -8,8 +8,8 @@
 
 from ..clock import Clock, run_periodically
 from ..errors import GentianmuxError, LogError
-from ..memory_log import KeyedLog
 from ..metrics import Metrics
+from ..platform_log import KeyedLog
 from .evacuations import EvacuationFeed
 from .model import JobConfig
 
--- a/src/gentianmux/leased/config_transfer.py
+++ b/src/gentianmux/leased/config_transfer.py
@@ -35,7 +35,7 @@
     got: bytearray
 
 
-class ConfigHanding:
+class ConfigTransfer:
     """Asks one peer for a newer configuration, and gives peers pieces of the present one.
 
     The configuration is nothing that an agent acts on: it keeps it for entries that start while
--- a/src/gentianmux/leased/directory.py
+++ b/src/gentianmux/leased/directory.py
@@ -10,8 +10,8 @@
 
 from ..clock import run_periodically
 from ..errors import LogError
-from ..memory_log import KeyedLog
 from ..metrics import Metrics
+from ..platform_log import KeyedLog
 from ..typed_json import flag, number, read_object, table, text, texts, whole
 from .config_feed import AGAIN_S, WATCH_S
 from .model import EndpointReport
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -20,7 +20,7 @@
 from ..metrics import Metrics
 from .admitting import Admitting
 from .config_feed import ConfigFeed
-from .config_transfer import ConfigHanding
+from .config_transfer import ConfigTransfer
 from .entry_context import EntryContext
 from .entry_leases import ECHO_GAP_S
 from .evacuation_broadcast import EvacuationSharing
@@ -83,7 +83,7 @@
         link_bytes_s: float = 0.0,
     ) -> None:
         self._ctx = EntryContext(view, links, feed, metrics, clock, link_bytes_s)
-        self._handing = ConfigHanding(feed, links, clock)
+        self._handing = ConfigTransfer(feed, links, clock)
         self._sharing = EvacuationSharing(feed.evacuations, links, self._on_evacuations)
         self._ends = RunEnds(self._ctx)
         self._admitting = Admitting(self._ctx)
--- a/src/gentianmux/leased/entry_leases.py
+++ b/src/gentianmux/leased/entry_leases.py
@@ -43,12 +43,12 @@
 """Reports whose time of sending is kept; 0.4 s at one every 2 ms is 200."""
 
 
-class AgentSide:
+class EntryLeases:
     """What an agent knows of its chains: when it sent each report, and each entry's echo.
 
     Examples
     --------
-    >>> side = AgentSide()
+    >>> side = EntryLeases()
     >>> side.sent(1, 10.0)
     >>> side.echoed("e1", 1)
     >>> side.holds("e1", 10.2), side.holds("e1", 10.5)
--- a/src/gentianmux/leased/entry_reports.py
+++ b/src/gentianmux/leased/entry_reports.py
@@ -5,7 +5,7 @@
 
 from ..clock import Clock
 from ..messages import AgentLoad, Claim, EndedRun, EndedRuns
-from .entry_leases import IDLE_REPORT_S, REPORT_S, AgentSide
+from .entry_leases import IDLE_REPORT_S, REPORT_S, EntryLeases
 from .grants import GRANT_S, Grants
 from .links import Links
 from .model import RunOutcome
@@ -46,7 +46,7 @@
 
     Attributes
     ----------
-    chain : AgentSide
+    chain : EntryLeases
         Until when each entry's runs may go on.
     applied : dict
         Number of the last assignment of each entry.
@@ -67,7 +67,7 @@
         load: Callable[[], Load],
         serves: Callable[[str], bool],
     ) -> None:
-        self.chain = AgentSide()
+        self.chain = EntryLeases()
         self.applied: dict[str, int] = {}
         self.grants = Grants()
         self.turned_away: set[str] = set()
--- a/src/gentianmux/leased/process.py
+++ b/src/gentianmux/leased/process.py
@@ -14,9 +14,9 @@
 from ..errors import GentianmuxError
 from ..http_server import HttpServer
 from ..listeners import Listeners
-from ..memory_log import KeyedLog
 from ..messages import PROTOCOL_VERSION, Hello
 from ..metrics import Metrics
+from ..platform_log import KeyedLog
 from ..settings import Settings
 from .config_feed import ConfigFeed, ConfigSource
 from .directory import Announcement, Directory
--- a/src/gentianmux/log_app.py
+++ b/src/gentianmux/log_app.py
@@ -10,7 +10,7 @@
 from .codes import ResultCode
 from .errors import LogError
 from .json_reply import StartResponse, json_reply
-from .memory_log import DEFAULT_READ_LIMIT, MemoryLog
+from .platform_log import DEFAULT_READ_LIMIT, MemoryLog
 
 _PREFIX = "/v1/streams/"
 
--- a/src/gentianmux/log_client.py
+++ b/src/gentianmux/log_client.py
@@ -11,7 +11,7 @@
 from .codes import ResultCode
 from .errors import LogError
 from .http_errors import CALL_FAILED
-from .memory_log import DEFAULT_READ_LIMIT, Record
+from .platform_log import DEFAULT_READ_LIMIT, Record
 
 
 class HttpLog:
--- a/src/gentianmux/node.py
+++ b/src/gentianmux/node.py
@@ -15,10 +15,10 @@
 from .handlers import handle, on_lost
 from .http_server import HttpServer
 from .log_client import HttpLog
-from .memory_log import PlatformLog
 from .node_context import NodeContext
 from .peers import Peers
 from .placement import Placement
+from .platform_log import PlatformLog
 from .settings import Settings
 from .shard_manager import ShardManager
 from .stream_reader import StreamReader
--- a/src/gentianmux/node_context.py
+++ b/src/gentianmux/node_context.py
@@ -12,8 +12,8 @@
 from .fleet_state import FleetState
 from .ids import shard_of
 from .membership import Membership, Timing, describe
-from .memory_log import PlatformLog
 from .metrics import Metrics
+from .platform_log import PlatformLog
 from .settings import Settings
 
 if TYPE_CHECKING:
--- a/src/gentianmux/platform/store.py
+++ b/src/gentianmux/platform/store.py
@@ -10,7 +10,7 @@
 from ..codes import ResultCode
 from ..errors import LogError
 from ..leased.model import NoAnswer
-from ..memory_log import Changes, Newest
+from ..platform_log import Changes, Newest
 from .http_client import HttpCaller, HttpReply
 
 CALL_S = 1.0
--- a/src/gentianmux/publish.py
+++ b/src/gentianmux/publish.py
@@ -7,7 +7,7 @@
 from .config_state import STREAM, Change, ConfigState
 from .errors import LogError
 from .follower import Follower
-from .memory_log import PlatformLog
+from .platform_log import PlatformLog
 from .rules import Fault
 
 
--- a/src/gentianmux/standalone.py
+++ b/src/gentianmux/standalone.py
@@ -2,8 +2,8 @@
 
 from .http_server import HttpServer
 from .log_app import LogApp
-from .memory_log import MemoryLog
 from .node import Node
+from .platform_log import MemoryLog
 from .sample_endpoint import SampleEndpoint
 from .settings import Settings
 
--- a/src/gentianmux/stream_reader.py
+++ b/src/gentianmux/stream_reader.py
@@ -7,9 +7,9 @@
 from .fleet_records import Leave, to_json
 from .follower import Follower
 from .membership import Versions
-from .memory_log import Record
 from .messages import LogRecord, StateBody, StatePull
 from .node_context import NodeContext
+from .platform_log import Record
 from .shard_manager import rendezvous
 
 ANNOUNCE_AGAIN_S = 2.0
--- a/standins/log.py
+++ b/standins/log.py
@@ -4,7 +4,7 @@
 
 from gentianmux.http_server import HttpServer
 from gentianmux.log_app import LogApp
-from gentianmux.memory_log import MemoryLog
+from gentianmux.platform_log import MemoryLog
 from gentianmux.settings import Settings
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -7,7 +7,7 @@
 from gentianmux.config_state import Change, ConfigState
 from gentianmux.errors import LogError
 from gentianmux.inventory import diff, read_inventory, read_rules
-from gentianmux.memory_log import MemoryLog, Record
+from gentianmux.platform_log import MemoryLog, Record
 from gentianmux.publish import publish
 from gentianmux.settings import read_settings
 
--- a/tests/test_foreign_records.py
+++ b/tests/test_foreign_records.py
@@ -16,10 +16,10 @@
 from gentianmux.leased.job_state import Outcome
 from gentianmux.leased.model import EndpointReport
 from gentianmux.leased.resources import Resources
-from gentianmux.memory_log import Changes, Newest
 from gentianmux.metrics import Metrics
 from gentianmux.platform.config import CONFIG_SOURCE, decode_config
 from gentianmux.platform.endpoint import read_report
+from gentianmux.platform_log import Changes, Newest
 from gentianmux.settings import Settings
 from gentianmux.typed_json import read_object
 
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -19,7 +19,7 @@
     retry_after_s,
     urgency,
 )
-from gentianmux.leased.entry_leases import CHAIN_S, AgentSide, surely_over
+from gentianmux.leased.entry_leases import CHAIN_S, EntryLeases, surely_over
 from gentianmux.leased.fleet_view import LOOKED_AT, FleetView, Wish
 from gentianmux.leased.health import FAILED_IN_A_ROW, EndpointHealth
 from gentianmux.leased.job_state import JobState, Phase, Prospect
@@ -60,7 +60,7 @@
 
 
 def test_the_chain_counts_from_the_sending_of_the_report_that_was_echoed() -> None:
-    side = AgentSide()
+    side = EntryLeases()
     for number in range(1, 11):
         side.sent(number, number / 10)
     side.echoed("e", 3)
--- a/tests/test_listeners.py
+++ b/tests/test_listeners.py
@@ -12,8 +12,8 @@
 from gentianmux.leased.config_feed import ConfigFeed, ConfigSource
 from gentianmux.leased.model import JobConfig, RequestLimits
 from gentianmux.listeners import Listeners
-from gentianmux.memory_log import MemoryKeyedLog
 from gentianmux.metrics import Metrics
+from gentianmux.platform_log import MemoryKeyedLog
 from gentianmux.settings import Settings
 
 
--- a/tests/test_log_watch.py
+++ b/tests/test_log_watch.py
@@ -8,7 +8,7 @@
 from gentianmux.fleet_records import Join, to_json
 from gentianmux.fleet_state import FleetState
 from gentianmux.follower import Follower
-from gentianmux.memory_log import MemoryLog
+from gentianmux.platform_log import MemoryLog
 
 
 def change(number: int) -> Change:
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -16,8 +16,8 @@
 from gentianmux.errors import GentianmuxError
 from gentianmux.fair_queue import FairQueue
 from gentianmux.limits import MemberLimits
-from gentianmux.memory_log import Record
 from gentianmux.messages import Task
+from gentianmux.platform_log import Record
 from gentianmux.routing import Candidate, choose, reserve_at
 from gentianmux.settings import Settings
 
