--- a/bench/leased_load.py
+++ b/bench/leased_load.py
@@ -23,7 +23,7 @@
 from bench.leased_world import Asked, World
 from bench.processes import ROOT
 from bench.scenario import USUAL, Kind, Power, Scenario
-from gentianmux.leased.job_state import USEFUL_FOR, Outcome
+from gentianmux.leased.job_state import USEFUL_FOR, JobOutcome
 from gentianmux.leased.resources import Resources
 
 RESULT = ROOT / "bench" / "results" / "leased_load.json"
@@ -226,7 +226,7 @@
     ways: Counter[str] = Counter()
     for job, handed_in in asked:
         verdict = handed_in.ticket.verdict
-        done = verdict is not None and verdict.outcome is Outcome.COMPLETED
+        done = verdict is not None and verdict.outcome is JobOutcome.COMPLETED
         took_s = handed_in.ended_at - handed_in.at if done else None
         credit = earned(job, took_s)
         for key in ("all", int(job.at / WINDOW_S), job.kind.queue.name):
--- a/bench/leased_recover.py
+++ b/bench/leased_recover.py
@@ -9,7 +9,7 @@
 
 from bench.leased_world import World
 from bench.processes import ROOT
-from gentianmux.leased.job_state import Outcome
+from gentianmux.leased.job_state import JobOutcome
 
 RESULT = ROOT / "bench" / "results" / "leased_recover.json"
 SEEDS = 7
@@ -102,7 +102,7 @@
     asked = job.ticket.job  # type: ignore[attr-defined]
     verdict = job.ticket.verdict  # type: ignore[attr-defined]
     took_s = job.ended_at - job.at  # type: ignore[attr-defined]
-    done = verdict is not None and verdict.outcome is Outcome.COMPLETED
+    done = verdict is not None and verdict.outcome is JobOutcome.COMPLETED
     return bool(done and took_s <= asked.objective_s)
 
 
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -29,7 +29,7 @@
 from .endpoint_tracker import EndpointTracker, TrackerHooks
 from .entry_leases import REPORT_S
 from .entry_reports import EntryReports, Load
-from .evacuation_broadcast import EvacuationSharing
+from .evacuation_broadcast import EvacuationBroadcast
 from .evacuations import Evacuations
 from .grants import LATE_RESERVE
 from .health import EndpointHealth
@@ -94,7 +94,7 @@
         ctx = AgentContext(cfg, driver, links, feed, metrics, clock)
         self._ctx = ctx
         self._handing = ConfigTransfer(feed, links, clock)
-        self._sharing = EvacuationSharing(feed.evacuations, links, self._on_evacuations)
+        self._sharing = EvacuationBroadcast(feed.evacuations, links, self._on_evacuations)
         self._idle_since: float | None = None
         self.on_endpoint: Callable[[EndpointReport | None], None] = lambda report: None
         self._stops = RunStops(ctx)
--- a/src/gentianmux/leased/caller_watch.py
+++ b/src/gentianmux/leased/caller_watch.py
@@ -7,7 +7,7 @@
 from loguru import logger
 
 from .entry import Entry
-from .job_state import Outcome
+from .job_state import JobOutcome
 from .ticket import Ticket, Verdict
 
 LAST_WORD_S = 0.5
@@ -42,7 +42,7 @@
     if ticket.verdict is None:
         logger.bind(job=ticket.job.spec.job_id).error("no verdict in time")
         entry.abandon(ticket, "no verdict in time")
-    return ticket.verdict or Verdict(Outcome.UNKNOWN, "no verdict in time")
+    return ticket.verdict or Verdict(JobOutcome.UNKNOWN, "no verdict in time")
 
 
 class CallerWatch:
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -23,10 +23,10 @@
 from .config_transfer import ConfigTransfer
 from .entry_context import EntryContext
 from .entry_leases import ECHO_GAP_S
-from .evacuation_broadcast import EvacuationSharing
+from .evacuation_broadcast import EvacuationBroadcast
 from .evacuations import Evacuations
 from .fleet_view import FleetView
-from .job_state import JobState, Outcome, longest_chain_s
+from .job_state import JobOutcome, JobState, longest_chain_s
 from .leaving import ends_in_time
 from .links import Links
 from .model import JobSpec, QueueConfig, RunOutcome
@@ -84,7 +84,7 @@
     ) -> None:
         self._ctx = EntryContext(view, links, feed, metrics, clock, link_bytes_s)
         self._handing = ConfigTransfer(feed, links, clock)
-        self._sharing = EvacuationSharing(feed.evacuations, links, self._on_evacuations)
+        self._sharing = EvacuationBroadcast(feed.evacuations, links, self._on_evacuations)
         self._ends = RunEnds(self._ctx)
         self._admitting = Admitting(self._ctx)
         self._placer = Placing(self._ctx, self._ends, self._admitting.admissions)
@@ -137,12 +137,12 @@
         """Cancel a job; false when none of this id is at work here."""
         ticket = self._ctx.jobs.get(job_id)
         if ticket is not None:
-            self._ctx.finish(ticket.job, Verdict(Outcome.CANCELLED, "cancelled by its caller"))
+            self._ctx.finish(ticket.job, Verdict(JobOutcome.CANCELLED, "cancelled by its caller"))
         return ticket is not None
 
     def abandon(self, ticket: Ticket, reason: str) -> None:
         """Stop a job that nobody waits for any more."""
-        self._ctx.finish(ticket.job, Verdict(Outcome.UNKNOWN, reason))
+        self._ctx.finish(ticket.job, Verdict(JobOutcome.UNKNOWN, reason))
 
     # Messages of agents
 
--- a/src/gentianmux/leased/entry_context.py
+++ b/src/gentianmux/leased/entry_context.py
@@ -11,7 +11,7 @@
 from .claiming import claims_of, signature
 from .config_feed import ConfigFeed
 from .fleet_view import AgentView, FleetView
-from .job_state import JobState, Outcome
+from .job_state import JobOutcome, JobState
 from .links import Links
 from .send_window import SendWindow
 from .ticket import Ticket, Verdict
@@ -112,9 +112,9 @@
     def give_up(self, job: JobState, reason: str, again_s: int = RETRY_AFTER_S) -> None:
         """End a job that is not served: as not run where that is proved, else as unknown."""
         if job.proved_not_run:
-            self.finish(job, Verdict(Outcome.NOT_RUN, reason, again_s))
+            self.finish(job, Verdict(JobOutcome.NOT_RUN, reason, again_s))
         else:
-            self.finish(job, Verdict(Outcome.UNKNOWN, reason))
+            self.finish(job, Verdict(JobOutcome.UNKNOWN, reason))
 
     def claims(self, service: str) -> list[Claim]:
         """What waits for room of a service here, by urgency; worked out anew when it changes."""
--- a/src/gentianmux/leased/entry_leases.py
+++ b/src/gentianmux/leased/entry_leases.py
@@ -1,15 +1,15 @@
 """The lease chain between an entry and an agent: who may still count on whom.
 
 An agent numbers the load reports that it sends. An entry echoes the newest number it has seen.
-The agent lets the entry's runs go on only for ``CHAIN_S`` after it *sent* the report that was
-echoed last. The entry knows when it sent its last echo, which is later; so ``CHAIN_S`` plus the
+The agent lets the entry's runs go on only for ``ENTRY_LEASE_S`` after it *sent* the report that was
+echoed last. The entry knows when it sent its last echo, which is later; so ``ENTRY_LEASE_S`` plus the
 endpoint's lease after that moment, nothing that it assigned can run any more, whatever froze, was
 cut off or died in between. No clock is compared with another machine's.
 """
 
 from collections import deque
 
-CHAIN_S = 0.4
+ENTRY_LEASE_S = 0.4
 """Seconds; three load reports. Shorter leases drop runs when a slowed process reports late."""
 
 REPORT_S = 0.125
@@ -67,7 +67,7 @@
         """Take an entry's echo; one of a report too old to be known extends nothing."""
         for known, sent_at in reversed(self._sent):
             if known == number:
-                self._until[entry] = max(self._until.get(entry, 0.0), sent_at + CHAIN_S)
+                self._until[entry] = max(self._until.get(entry, 0.0), sent_at + ENTRY_LEASE_S)
                 return
             if known < number:
                 return
@@ -83,7 +83,7 @@
     def is_quiet(self, entry: str, now: float, serves: bool) -> bool:
         """Whether no echo of a recent report has come; sooner where runs depend on it."""
         quiet_s = QUIET_S if serves else IDLE_QUIET_S
-        return now > self._until.get(entry, now + CHAIN_S) - CHAIN_S + quiet_s
+        return now > self._until.get(entry, now + ENTRY_LEASE_S) - ENTRY_LEASE_S + quiet_s
 
     def forget(self, entry: str) -> None:
         """Drop what is known of an entry that has ended."""
@@ -100,4 +100,4 @@
     lease_s : float
         The longest lease that agents ask of endpoints, in seconds.
     """
-    return last_echo_at + CHAIN_S + lease_s * CLOCK_DRIFT + STOP_MARGIN_S
+    return last_echo_at + ENTRY_LEASE_S + lease_s * CLOCK_DRIFT + STOP_MARGIN_S
--- a/src/gentianmux/leased/evacuation_broadcast.py
+++ b/src/gentianmux/leased/evacuation_broadcast.py
@@ -7,7 +7,7 @@
 from .links import Links
 
 
-class EvacuationSharing:
+class EvacuationBroadcast:
     """Tells every peer of evacuations when they change, and when its connection opens.
 
     An account is taken in only when it is newer than the one that is known, so it passes each
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -7,12 +7,12 @@
 
 from ..messages import AgentLoad, EndpointState
 from .claiming import Signature
-from .entry_leases import CHAIN_S, surely_over
+from .entry_leases import ENTRY_LEASE_S, surely_over
 from .leaving import NO_BOUND_MS
 from .model import instance_of
 from .resources import NO_RESOURCES, Resources
 
-SILENT_S = CHAIN_S - 0.05
+SILENT_S = ENTRY_LEASE_S - 0.05
 """Seconds without a load report after which an agent gets nothing new: what is assigned later comes
 when its chain is over, and is refused. Reports come every 0.125 or 0.25 s."""
 
--- a/src/gentianmux/leased/job_state.py
+++ b/src/gentianmux/leased/job_state.py
@@ -43,7 +43,7 @@
     LATE = "late"
 
 
-class Outcome(Enum):
+class JobOutcome(Enum):
     """What became of a job."""
 
     COMPLETED = "completed"
--- a/src/gentianmux/leased/run_ends.py
+++ b/src/gentianmux/leased/run_ends.py
@@ -4,7 +4,7 @@
 
 from ..messages import Holding, RunRef, Withdraw
 from .entry_context import EntryContext
-from .job_state import Outcome
+from .job_state import JobOutcome
 from .model import RunOutcome, instance_of
 from .ticket import Verdict
 
@@ -61,9 +61,9 @@
         if how not in (RunOutcome.DONE, RunOutcome.NO_ROOM):
             logger.bind(task=name, run=run, peer=agent, how=how.name.lower()).info("run came back")
         if job.failed:
-            self._ctx.finish(job, Verdict(Outcome.FAILED, f"{name} failed too often"))
+            self._ctx.finish(job, Verdict(JobOutcome.FAILED, f"{name} failed too often"))
         elif job.is_done:
-            self._ctx.finish(job, Verdict(Outcome.COMPLETED, "every task is done"))
+            self._ctx.finish(job, Verdict(JobOutcome.COMPLETED, "every task is done"))
         elif job.ready() and job.spec.job_id in self._ctx.jobs:
             self._ctx.backlog.put(job)
 
--- a/src/gentianmux/leased/ticket.py
+++ b/src/gentianmux/leased/ticket.py
@@ -4,13 +4,13 @@
 
 from gevent.event import Event
 
-from .job_state import JobState, Outcome
+from .job_state import JobOutcome, JobState
 
 
 class Verdict(NamedTuple):
     """What is answered for a job."""
 
-    outcome: Outcome
+    outcome: JobOutcome
     reason: str
     retry_after_s: int = 0
 
--- a/src/gentianmux/node_context.py
+++ b/src/gentianmux/node_context.py
@@ -5,12 +5,12 @@
 
 from gevent.event import Event
 
-from .claims import Claims
 from .clock import Clock
 from .config_state import ConfigState
 from .fleet_records import Join
 from .fleet_state import FleetState
 from .ids import shard_of
+from .member_claims import Claims
 from .membership import Membership, Timing, describe
 from .metrics import Metrics
 from .platform_log import PlatformLog
--- a/src/gentianmux/platform/callers.py
+++ b/src/gentianmux/platform/callers.py
@@ -14,7 +14,7 @@
 from ..leased.caller_watch import wait_for_verdict
 from ..leased.config_feed import ConfigFeed
 from ..leased.entry import Entry
-from ..leased.job_state import Outcome
+from ..leased.job_state import JobOutcome
 from ..leased.model import JobSpec, QueueConfig, RequestLimits, StepSpec
 from ..leased.resources import Resources
 from ..metrics import Metrics
@@ -44,7 +44,7 @@
     "target_ms",
     "max_unavailable",
 )
-_STATES = {Outcome.COMPLETED: "completed", Outcome.FAILED: "failed"}
+_STATES = {JobOutcome.COMPLETED: "completed", JobOutcome.FAILED: "failed"}
 _REASONS = {status.value: status.phrase for status in HTTPStatus}
 
 StartResponse = Callable[..., Any]
@@ -153,9 +153,9 @@
         verdict = wait_for_verdict(self._entry, ticket, environ.get("gentianmux.socket"))
         if verdict.outcome in _STATES:
             return Response(200, {"state": _STATES[verdict.outcome]})
-        if verdict.outcome is Outcome.CANCELLED:
+        if verdict.outcome is JobOutcome.CANCELLED:
             return Response(200, {"state": "cancelled"})
-        status = 503 if verdict.outcome is Outcome.NOT_RUN else 504
+        status = 503 if verdict.outcome is JobOutcome.NOT_RUN else 504
         content = {"error": verdict.reason, "job": job_id, "outcome": verdict.outcome.value}
         return Response(status, content, verdict.retry_after_s)
 
--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -16,7 +16,7 @@
 
 from gentianmux.http_server import HttpServer
 from gentianmux.leased.caller_watch import wait_for_verdict
-from gentianmux.leased.job_state import JobState, Outcome
+from gentianmux.leased.job_state import JobOutcome, JobState
 from gentianmux.leased.model import JobSpec, QueueConfig, StepSpec
 from gentianmux.leased.resources import Resources
 from gentianmux.leased.ticket import Ticket, Verdict
@@ -39,7 +39,7 @@
 
     def abandon(self, ticket: Ticket, reason: str) -> None:
         self.abandoned.append(reason)
-        ticket.verdict = Verdict(Outcome.UNKNOWN, reason)
+        ticket.verdict = Verdict(JobOutcome.UNKNOWN, reason)
         ticket.done.set()
 
     def ticket(self) -> Ticket:
@@ -47,7 +47,7 @@
         return Ticket(JobState(spec, QUEUE, 0.0, 9.0))
 
     def refuse(self, ticket: Ticket) -> None:
-        ticket.verdict = Verdict(Outcome.NOT_RUN, "no room")
+        ticket.verdict = Verdict(JobOutcome.NOT_RUN, "no room")
         if self._later:
             gevent.spawn(ticket.done.set)
         else:
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -29,7 +29,7 @@
 from gentianmux.leased.directory import Announcement, decode_announcement
 from gentianmux.leased.endpoint_word import Word, judge
 from gentianmux.leased.fleet_view import Wish
-from gentianmux.leased.job_state import Outcome
+from gentianmux.leased.job_state import JobOutcome
 from gentianmux.leased.model import (
     ActiveRun,
     EndpointReport,
@@ -88,7 +88,7 @@
     world.run(2.5)
     jobs = [world.submit("e0", tasks=2, run_s=0.2) for _ in range(3)]
     world.run(2.0)
-    assert {outcome(job) for job in before + jobs} == {Outcome.COMPLETED}
+    assert {outcome(job) for job in before + jobs} == {JobOutcome.COMPLETED}
     assert world.starts == 30
     assert_kept(world)
 
@@ -220,7 +220,7 @@
     assert agent_of(world).report is known
     assert agent_of(world).is_accepting
     world.run(1.0)
-    assert outcome(job) is Outcome.COMPLETED
+    assert outcome(job) is JobOutcome.COMPLETED
     assert world.starts == 6
 
 
@@ -233,7 +233,7 @@
     agent_of(world).on_report(known._replace(born=10**18, sequence=1))
     assert agent_of(world).report is known
     world.run(1.0)
-    assert outcome(job) is Outcome.COMPLETED
+    assert outcome(job) is JobOutcome.COMPLETED
     assert world.starts == 6
 
 
@@ -246,7 +246,7 @@
     assert agent_of(world).is_accepting
     job = world.submit("e0", tasks=4, run_s=0.2)
     world.run(0.5)
-    assert outcome(job) is Outcome.COMPLETED
+    assert outcome(job) is JobOutcome.COMPLETED
 
 
 @pytest.mark.parametrize("same_id", [True, False])
@@ -287,7 +287,7 @@
     world.run(0.1)
     agent_of(world).on_left(earlier.name, earlier.born if told else 0)
     world.run(1.0)
-    assert outcome(job) is Outcome.COMPLETED
+    assert outcome(job) is JobOutcome.COMPLETED
     assert world.starts == 6
     assert_kept(world)
 
@@ -307,7 +307,7 @@
         world.run(0.001)
     agent.on_left(earlier.name, earlier.born)
     world.run(3.0)
-    assert outcome(job) is Outcome.COMPLETED
+    assert outcome(job) is JobOutcome.COMPLETED
     assert_kept(world)
 
 
@@ -347,7 +347,7 @@
     world.run(after_s)
     world.restart_endpoint("w0", down_s)
     world.run(6.0)
-    assert {outcome(job) for job in jobs} == {Outcome.COMPLETED}
+    assert {outcome(job) for job in jobs} == {JobOutcome.COMPLETED}
     assert_kept(world)
 
 
@@ -621,5 +621,5 @@
     assert agent_of(world).is_accepting
     job = world.submit("e0", tasks=4, run_s=0.2)
     world.run(0.5)
-    assert outcome(job) is Outcome.COMPLETED
+    assert outcome(job) is JobOutcome.COMPLETED
     assert_kept(world)
--- a/tests/test_foreign_records.py
+++ b/tests/test_foreign_records.py
@@ -13,7 +13,7 @@
 from gentianmux.errors import GentianmuxError, LogError
 from gentianmux.leased.config_feed import ConfigFeed
 from gentianmux.leased.directory import TOPIC, Announcement, Directory, decode_announcement
-from gentianmux.leased.job_state import Outcome
+from gentianmux.leased.job_state import JobOutcome
 from gentianmux.leased.model import EndpointReport
 from gentianmux.leased.resources import Resources
 from gentianmux.metrics import Metrics
@@ -197,7 +197,7 @@
     assert agent.is_accepting
     job = world.submit("e0", tasks=8, run_s=0.12)
     world.run(0.3)
-    assert outcome(job) is Outcome.COMPLETED
+    assert outcome(job) is JobOutcome.COMPLETED
     assert_kept(world)
 
 
--- a/tests/test_late_orders.py
+++ b/tests/test_late_orders.py
@@ -18,7 +18,7 @@
 from test_leased_world import assert_kept, outcome, ready_world
 
 from bench.leased_world import Asked, World
-from gentianmux.leased.job_state import Outcome
+from gentianmux.leased.job_state import JobOutcome
 from gentianmux.messages import Assign, Message
 
 
@@ -60,7 +60,7 @@
         world.run(after_s)
         arrive()
         world.run(2.0)
-        assert outcome(job) is Outcome.COMPLETED
+        assert outcome(job) is JobOutcome.COMPLETED
         assert_kept(world)
 
 
@@ -69,6 +69,6 @@
     job, _ = order_kept_on_its_way(world, tasks=6)
     world.reopen(world.process_of("w0"), world.process_of("e0"))
     world.run(0.5)
-    assert outcome(job) is Outcome.COMPLETED
+    assert outcome(job) is JobOutcome.COMPLETED
     assert job.ended_at - job.at < 0.42
     assert_kept(world)
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -19,7 +19,7 @@
     retry_after_s,
     urgency,
 )
-from gentianmux.leased.entry_leases import CHAIN_S, EntryLeases, surely_over
+from gentianmux.leased.entry_leases import ENTRY_LEASE_S, EntryLeases, surely_over
 from gentianmux.leased.fleet_view import LOOKED_AT, FleetView, Wish
 from gentianmux.leased.health import FAILED_IN_A_ROW, EndpointHealth
 from gentianmux.leased.job_state import JobState, Phase, Prospect
@@ -64,10 +64,10 @@
     for number in range(1, 11):
         side.sent(number, number / 10)
     side.echoed("e", 3)
-    assert side.holds("e", 0.3 + CHAIN_S - 0.01)
-    assert not side.holds("e", 0.3 + CHAIN_S + 0.01)
+    assert side.holds("e", 0.3 + ENTRY_LEASE_S - 0.01)
+    assert not side.holds("e", 0.3 + ENTRY_LEASE_S + 0.01)
     side.echoed("e", 2)
-    assert side.holds("e", 0.3 + CHAIN_S - 0.01)
+    assert side.holds("e", 0.3 + ENTRY_LEASE_S - 0.01)
     side.echoed("e", 99)
     assert not side.holds("e", 2.0)
 
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -6,7 +6,7 @@
 import pytest
 
 from bench.leased_world import ENDPOINT_ROOM, QUEUE, Asked, World
-from gentianmux.leased.job_state import Outcome
+from gentianmux.leased.job_state import JobOutcome
 from gentianmux.leased.model import EndpointReport, EndRecord, HoldReply, RunOutcome
 from gentianmux.leased.payloads import pack
 from gentianmux.leased.resources import Resources
@@ -19,7 +19,7 @@
     return world
 
 
-def outcome(asked: object) -> Outcome | None:
+def outcome(asked: object) -> JobOutcome | None:
     verdict = asked.ticket.verdict  # type: ignore[attr-defined]
     return None if verdict is None else verdict.outcome
 
@@ -41,7 +41,7 @@
     world = ready_world()
     job = world.submit("e0", tasks=8, run_s=0.12)
     world.run(0.2)
-    assert outcome(job) is Outcome.COMPLETED
+    assert outcome(job) is JobOutcome.COMPLETED
     assert world.starts == 8
     assert job.ended_at - job.at < 0.15
 
@@ -51,8 +51,8 @@
     good = world.submit("e0", failures=2)
     bad = world.submit("e0", failures=3)
     world.run(1.0)
-    assert outcome(good) is Outcome.COMPLETED
-    assert outcome(bad) is Outcome.FAILED
+    assert outcome(good) is JobOutcome.COMPLETED
+    assert outcome(bad) is JobOutcome.FAILED
     assert_kept(world)
 
 
@@ -68,7 +68,7 @@
     world = ready_world(agents=1)
     jobs = [world.submit("e0", tasks=10, run_s=0.5) for _ in range(10)]
     world.run(0.3)
-    refused = [job for job in jobs if outcome(job) is Outcome.NOT_RUN]
+    refused = [job for job in jobs if outcome(job) is JobOutcome.NOT_RUN]
     assert len(refused) >= 7
     assert all(job.ticket.verdict.retry_after_s > 0 for job in refused if job.ticket.verdict)
     quarter_s = jobs[0].ticket.job.objective_s / 4
@@ -84,7 +84,7 @@
         machine.endpoint.lose_answers = 0 if late else 2
     jobs = [world.submit("e0", tasks=4, run_s=0.4) for _ in range(4)]
     world.run(6.0)
-    assert [outcome(job) for job in jobs] == [Outcome.COMPLETED] * 4
+    assert [outcome(job) for job in jobs] == [JobOutcome.COMPLETED] * 4
     assert_kept(world)
 
 
@@ -97,7 +97,7 @@
     world.run(0.4)
     world.start_agent(name)
     world.run(4.0)
-    assert outcome(job) is Outcome.COMPLETED
+    assert outcome(job) is JobOutcome.COMPLETED
     assert_kept(world)
 
 
@@ -109,7 +109,7 @@
     for entry in ("e0",):
         world.cut_apart(name, entry, 10.0)
     world.run(4.5)
-    assert outcome(job) is Outcome.COMPLETED
+    assert outcome(job) is JobOutcome.COMPLETED
     assert_kept(world)
 
 
@@ -134,7 +134,7 @@
     world.run(1.3)
     again = world.submit("e1", tasks=6, run_s=2.5, job_id=job.spec.job_id)
     world.run(4.5)
-    assert outcome(again) is Outcome.COMPLETED
+    assert outcome(again) is JobOutcome.COMPLETED
     assert_kept(world)
 
 
@@ -156,7 +156,7 @@
     for name in world.machines:
         world.reset(name, "e0")
     world.run(1.5)
-    assert outcome(job) is Outcome.COMPLETED
+    assert outcome(job) is JobOutcome.COMPLETED
     assert world.starts == 3
     assert_kept(world)
 
@@ -169,7 +169,7 @@
         jobs.append(world.submit("e0", tasks=2, run_s=0.1))
         world.run(0.03)
     world.run(2.0)
-    completed = sum(outcome(job) is Outcome.COMPLETED for job in jobs)
+    completed = sum(outcome(job) is JobOutcome.COMPLETED for job in jobs)
     assert completed >= 97
     assert world.wasted_runs < 25
     assert_kept(world)
@@ -183,7 +183,7 @@
         jobs.append(world.submit("e0", tasks=2, run_s=0.3))
         world.run(0.05)
     world.run(3.0)
-    assert all(outcome(job) is Outcome.COMPLETED for job in jobs)
+    assert all(outcome(job) is JobOutcome.COMPLETED for job in jobs)
     assert world.wasted_runs <= 5
     assert world.machines["w0"].agent is not None
     assert world.machines["w0"].agent.health.ejections >= 1
@@ -342,7 +342,7 @@
         jobs.append(world.submit("e0", tasks=3, run_s=0.4))
         world.run(0.1)
     world.run(2.0)
-    assert all(outcome(job) is Outcome.COMPLETED for job in jobs)
+    assert all(outcome(job) is JobOutcome.COMPLETED for job in jobs)
     assert world.wasted_runs == 0
     assert sorted(job.ended_at - job.at for job in jobs)[-4] < 0.8
     assert_kept(world)
@@ -355,7 +355,7 @@
     name = holder_of(world, f"{job.spec.job_id}.0.0.0")
     world.machines[name].endpoint.lose_looks = 1.0
     world.run(4.6)
-    assert outcome(job) is Outcome.COMPLETED
+    assert outcome(job) is JobOutcome.COMPLETED
     assert_kept(world)
 
 
@@ -382,7 +382,7 @@
     for machine in world.machines.values():
         machine.endpoint.unhealthy = False
     world.run(3.0)
-    assert outcome(job) is Outcome.COMPLETED
+    assert outcome(job) is JobOutcome.COMPLETED
 
 
 def test_a_service_without_any_agent_is_refused_soon() -> None:
@@ -391,7 +391,7 @@
     world.run(1.0)
     job = world.submit("e0")
     world.run(0.6)
-    assert outcome(job) is Outcome.NOT_RUN
+    assert outcome(job) is JobOutcome.NOT_RUN
 
 
 def test_a_start_without_an_answer_is_settled_within_a_few_round_trips() -> None:
@@ -400,7 +400,7 @@
         machine.endpoint.late_orders = 1
     job = world.submit("e0", tasks=4, run_s=0.2)
     world.run(0.3)
-    assert outcome(job) is Outcome.COMPLETED
+    assert outcome(job) is JobOutcome.COMPLETED
     assert_kept(world)
 
 
@@ -442,7 +442,7 @@
     assert agent.table.acknowledged == 0
     job = world.submit("e0", tasks=4, run_s=0.2)
     world.run(1.0)
-    assert outcome(job) is Outcome.COMPLETED
+    assert outcome(job) is JobOutcome.COMPLETED
 
 
 def test_a_run_withdrawn_while_it_waits_for_an_earlier_one_never_begins() -> None:
@@ -473,7 +473,7 @@
     world.run(1.3)
     again = world.submit("e1", tasks=3, run_s=4.0, job_id=job.spec.job_id, time_limit_s=9.0)
     world.run(5.0)
-    assert outcome(again) is Outcome.COMPLETED
+    assert outcome(again) is JobOutcome.COMPLETED
     assert_kept(world)
 
 
@@ -493,7 +493,7 @@
     assert machine.agent is not None
     machine.agent.on_report(late)
     world.run(3.0)
-    assert [outcome(job) for job in jobs] == [Outcome.COMPLETED] * 3
+    assert [outcome(job) for job in jobs] == [JobOutcome.COMPLETED] * 3
     assert world.starts == 27
     assert_kept(world)
 
@@ -504,7 +504,7 @@
         world.at(0.37 * at + 0.2, "", world.silence_connections)
     jobs = [world.submit(f"e{number % 2}", tasks=4, run_s=1.2) for number in range(6)]
     world.run(4.0)
-    assert [outcome(job) for job in jobs] == [Outcome.COMPLETED] * 6
+    assert [outcome(job) for job in jobs] == [JobOutcome.COMPLETED] * 6
     assert max(job.ended_at - job.at for job in jobs) < 1.4
     assert world.wasted_runs == 0
     assert_kept(world)
@@ -532,7 +532,7 @@
         world.submit(f"e{rng.randrange(3)}", tasks=4, run_s=run_s, time_limit_s=9.0)
         world.run(rng.expovariate(25.0))
     world.run(9.0)
-    done = [job for job in world.asked if outcome(job) is Outcome.COMPLETED]
+    done = [job for job in world.asked if outcome(job) is JobOutcome.COMPLETED]
     in_time = [job for job in done if job.ended_at - job.at <= job.ticket.job.objective_s]
     assert len(in_time) > 0.85 * len(world.asked)
     assert world.wasted_runs == 0
@@ -551,7 +551,7 @@
     assert task not in world.started
     world.freeze(world.process_of(takers[0]), 1.6)
     world.run(4.0)
-    assert outcome(job) is Outcome.COMPLETED
+    assert outcome(job) is JobOutcome.COMPLETED
     assert_kept(world)
     assert world.starts == 2
 
@@ -571,7 +571,7 @@
         world.start_agent(name)
     world.run(3.0)
     # The last of them are late, since heartbeats come every half second here.
-    assert [outcome(job) for job in jobs] == [Outcome.COMPLETED] * 12
+    assert [outcome(job) for job in jobs] == [JobOutcome.COMPLETED] * 12
     assert_kept(world)
 
 
@@ -603,14 +603,14 @@
     entry.begin_leaving(world.time + 5.0)
     first = world.submit("e0", tasks=1, run_s=0.05)
     world.run(0.1)
-    assert outcome(first) is Outcome.COMPLETED
+    assert outcome(first) is JobOutcome.COMPLETED
     assert not entry.has_left()
     world.run(0.05)
     last = world.submit("e0", tasks=1, run_s=0.05)
     assert entry.takes(last.spec)
     assert not entry.has_left()
     world.run(0.1)
-    assert outcome(last) is Outcome.COMPLETED
+    assert outcome(last) is JobOutcome.COMPLETED
     assert not entry.has_left()
     world.run(0.11)
     assert entry.has_left()
@@ -637,7 +637,7 @@
         jobs += [world.submit(name, tasks=4, run_s=0.3) for name in world.entries]
         world.run(0.1)
     world.run(1.0)
-    assert [outcome(job) for job in jobs] == [Outcome.COMPLETED] * len(jobs)
+    assert [outcome(job) for job in jobs] == [JobOutcome.COMPLETED] * len(jobs)
     assert world.starts == 4 * len(jobs)
     assert {m.agent._ctx.feed.version for m in world.machines.values() if m.agent} == {7}
     assert_kept(world)
@@ -673,7 +673,7 @@
     for number in range(60):
         world.submit(f"e{number % 5}", tasks=1, run_s=0.1)
         world.run(0.35)
-    assert all(outcome(job) is Outcome.COMPLETED for job in world.asked)
+    assert all(outcome(job) is JobOutcome.COMPLETED for job in world.asked)
     assert world.starts == len(world.asked)
     assert _refused(world) == refused_before
     assert_kept(world)
@@ -711,7 +711,7 @@
     world.run(0.19)
     world.silence_connections()
     world.run(1.0)
-    assert outcome(job) is Outcome.COMPLETED
+    assert outcome(job) is JobOutcome.COMPLETED
     assert job.ended_at - job.at < 1.0
     assert world.wasted_runs == 0
 
@@ -729,4 +729,4 @@
         world.run(0.1)
     world.run(2.0)
     assert world.wasted_runs == 0
-    assert all(outcome(job) is Outcome.COMPLETED for job in world.asked)
+    assert all(outcome(job) is JobOutcome.COMPLETED for job in world.asked)
--- a/tests/test_send_window.py
+++ b/tests/test_send_window.py
@@ -15,7 +15,7 @@
 
 from bench.leased_world import World
 from gentianmux.leased import send_window
-from gentianmux.leased.job_state import Outcome
+from gentianmux.leased.job_state import JobOutcome
 from gentianmux.leased.payloads import LONGEST_BYTES, pack, unpack
 from gentianmux.leased.send_window import (
     LEAST_BYTES,
@@ -167,7 +167,7 @@
     for second in range(8):
         jobs = [job for job in world.asked if second <= job.at - began < second + 1]
         done = [
-            j for j in jobs if j.ticket.verdict and j.ticket.verdict.outcome is Outcome.COMPLETED
+            j for j in jobs if j.ticket.verdict and j.ticket.verdict.outcome is JobOutcome.COMPLETED
         ]
         seconds.append(Second(len(jobs), len(done)))
     return Load(seconds, sum(j.ended_at - j.at > 1.2 for j in world.asked), world.wasted_runs)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -9,13 +9,13 @@
 from hypothesis import strategies as st
 
 from bench.world import SETTINGS, World
-from gentianmux.claims import SETTLE_S, Claims, split_claim
 from gentianmux.codes import ResultCode
 from gentianmux.config_state import Change, ConfigState
 from gentianmux.endpoint_client import Run
 from gentianmux.errors import GentianmuxError
 from gentianmux.fair_queue import FairQueue
 from gentianmux.limits import MemberLimits
+from gentianmux.member_claims import SETTLE_S, Claims, split_claim
 from gentianmux.messages import Task
 from gentianmux.platform_log import Record
 from gentianmux.routing import Candidate, choose, reserve_at
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -13,7 +13,7 @@
 
 from bench.leased_world import World
 from gentianmux.leased import placing
-from gentianmux.leased.job_state import Outcome
+from gentianmux.leased.job_state import JobOutcome
 from gentianmux.messages import Assign, Message
 
 SEEDS = (1, 2, 3)
@@ -54,7 +54,7 @@
 
 def is_in_time(job) -> bool:  # type: ignore[no-untyped-def]
     verdict = job.ticket.verdict
-    served = verdict is not None and verdict.outcome is Outcome.COMPLETED
+    served = verdict is not None and verdict.outcome is JobOutcome.COMPLETED
     return served and job.ended_at - job.at <= job.ticket.job.objective_s
 
 
@@ -84,4 +84,6 @@
     assigned = [msg for msg in sent if isinstance(msg, Assign)]
     assert sum(len(msg.tasks) for msg in assigned) == 8
     assert sum(len(msg.payloads) for msg in assigned) == 2
-    assert {job.ticket.verdict.outcome for job in jobs if job.ticket.verdict} == {Outcome.COMPLETED}
+    assert {job.ticket.verdict.outcome for job in jobs if job.ticket.verdict} == {
+        JobOutcome.COMPLETED
+    }
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -6,7 +6,7 @@
 import pytest
 from test_leased_world import assert_kept, outcome, ready_world
 
-from gentianmux.leased.job_state import Outcome
+from gentianmux.leased.job_state import JobOutcome
 
 SOURCE = Path(__file__).parent.parent / "src" / "gentianmux"
 WALL_CLOCKS = {"time", "time_ns", "now", "utcnow", "now_ms"}
@@ -60,7 +60,7 @@
     assert world.process_of("w0") == "w0.-4"
     assert node.view is not None
     assert world.process_of("w0") in node.view.agents
-    assert [outcome(job) for job in jobs] == [Outcome.COMPLETED] * 3
+    assert [outcome(job) for job in jobs] == [JobOutcome.COMPLETED] * 3
     assert_kept(world)
     node.lives = -9
     world.kill("e0.1")
@@ -68,5 +68,5 @@
     world.run(1.0)
     again = world.submit("e0", tasks=4, run_s=0.2)
     world.run(1.0)
-    assert outcome(again) is Outcome.COMPLETED
+    assert outcome(again) is JobOutcome.COMPLETED
     assert_kept(world)
