--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -93,7 +93,7 @@
     ) -> None:
         ctx = AgentContext(cfg, driver, links, feed, metrics, clock)
         self._ctx = ctx
-        self._handing = ConfigTransfer(feed, links, clock)
+        self._config_transfer = ConfigTransfer(feed, links, clock)
         self._sharing = EvacuationBroadcast(feed.evacuations, links, self._on_evacuations)
         self._idle_since: float | None = None
         self.on_endpoint: Callable[[EndpointReport | None], None] = lambda report: None
@@ -271,7 +271,7 @@
         self._chain.echoed(entry, msg.number)
         self._ctx.reports.seen(entry, msg.seen)
         self._ctx.reports.claimed(entry, msg.claims, msg.gives_back)
-        self._handing.heard_of(entry, msg.config_version)
+        self._config_transfer.heard_of(entry, msg.config_version)
 
     @on_message.register
     def _(self, msg: Evacuated, entry: str) -> None:
@@ -283,11 +283,11 @@
 
     @on_message.register
     def _(self, msg: ConfigWanted, entry: str) -> None:
-        self._handing.wanted(msg, entry)
+        self._config_transfer.wanted(msg, entry)
 
     @on_message.register
     def _(self, msg: ConfigPiece, entry: str) -> None:
-        self._handing.take(msg, entry)
+        self._config_transfer.take(msg, entry)
 
     def check_chains(self) -> None:
         """Stop the runs of entries that no longer echo, and open connections in place of silent
--- a/src/gentianmux/leased/caller_watch.py
+++ b/src/gentianmux/leased/caller_watch.py
@@ -18,7 +18,7 @@
 """What the event loop is asked to watch for: bytes, or the end of the connection."""
 
 
-def wait_for_verdict(entry: Entry, ticket: Ticket, sock: Any) -> Verdict:
+def wait_for_result(entry: Entry, ticket: Ticket, sock: Any) -> Verdict:
     """Wait for a job's verdict; the job is stopped when its last caller leaves.
 
     Parameters
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -83,7 +83,7 @@
         link_bytes_s: float = 0.0,
     ) -> None:
         self._ctx = EntryContext(view, links, feed, metrics, clock, link_bytes_s)
-        self._handing = ConfigTransfer(feed, links, clock)
+        self._config_transfer = ConfigTransfer(feed, links, clock)
         self._sharing = EvacuationBroadcast(feed.evacuations, links, self._on_evacuations)
         self._ends = RunEnds(self._ctx)
         self._admitting = Admitting(self._ctx)
@@ -157,7 +157,7 @@
         now = self._ctx.clock.now()
         view.take_load(msg, now)
         self._ctx.window.told(agent, msg.applied, now)
-        self._handing.heard_of(agent, msg.config_version)
+        self._config_transfer.heard_of(agent, msg.config_version)
         if view.free.cpu > 0:
             self._placer.call_soon()
         # Room that is granted to what no longer waits is for another entry.
@@ -197,11 +197,11 @@
 
     @on_message.register
     def _(self, msg: ConfigWanted, agent: str) -> None:
-        self._handing.wanted(msg, agent)
+        self._config_transfer.wanted(msg, agent)
 
     @on_message.register
     def _(self, msg: ConfigPiece, agent: str) -> None:
-        self._handing.take(msg, agent)
+        self._config_transfer.take(msg, agent)
 
     @on_message.register
     def _(self, msg: Evacuated, agent: str) -> None:
--- a/src/gentianmux/leased/entry_leases.py
+++ b/src/gentianmux/leased/entry_leases.py
@@ -90,7 +90,7 @@
         self._until.pop(entry, None)
 
 
-def surely_over(last_echo_at: float, lease_s: float) -> float:
+def leases_expire_at(last_echo_at: float, lease_s: float) -> float:
     """When nothing that an agent was assigned can run any more.
 
     Parameters
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -7,7 +7,7 @@
 
 from ..messages import AgentLoad, EndpointState
 from .claiming import Signature
-from .entry_leases import ENTRY_LEASE_S, surely_over
+from .entry_leases import ENTRY_LEASE_S, leases_expire_at
 from .leaving import NO_BOUND_MS
 from .model import instance_of
 from .resources import NO_RESOURCES, Resources
@@ -173,7 +173,7 @@
     def is_over(self, process: str, now: float) -> bool:
         """Whether nothing that the agent was assigned can still run."""
         view = self.agents.get(process)
-        return view is None or now > surely_over(view.heard_at, self._lease_s)
+        return view is None or now > leases_expire_at(view.heard_at, self._lease_s)
 
     def is_reachable(self, now: float) -> bool:
         """Whether any agent with an endpoint was heard of lately."""
--- a/src/gentianmux/platform/callers.py
+++ b/src/gentianmux/platform/callers.py
@@ -11,7 +11,7 @@
 from ..codes import ResultCode
 from ..errors import GentianmuxError
 from ..http_server import read_body
-from ..leased.caller_watch import wait_for_verdict
+from ..leased.caller_watch import wait_for_result
 from ..leased.config_feed import ConfigFeed
 from ..leased.entry import Entry
 from ..leased.job_state import JobOutcome
@@ -150,7 +150,7 @@
         if not self._entry.takes(spec):
             raise GentianmuxError(ResultCode.DRAINING, retry_after_ms=RETRY_AFTER_S * 1000)
         ticket = self._entry.submit(spec, queue, time_limit_s)
-        verdict = wait_for_verdict(self._entry, ticket, environ.get("gentianmux.socket"))
+        verdict = wait_for_result(self._entry, ticket, environ.get("gentianmux.socket"))
         if verdict.outcome in _STATES:
             return Response(200, {"state": _STATES[verdict.outcome]})
         if verdict.outcome is JobOutcome.CANCELLED:
--- a/src/gentianmux/shard_manager.py
+++ b/src/gentianmux/shard_manager.py
@@ -26,7 +26,7 @@
 )
 from .node_context import NodeContext
 from .shard_moves import ShardMoves
-from .traces import TraceCollector
+from .trace_collector import TraceCollector
 
 SETTLE_S = 1.0
 REAPPEND_S = 1.0
--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -15,7 +15,7 @@
 from nodes import free_port
 
 from gentianmux.http_server import HttpServer
-from gentianmux.leased.caller_watch import wait_for_verdict
+from gentianmux.leased.caller_watch import wait_for_result
 from gentianmux.leased.job_state import JobOutcome, JobState
 from gentianmux.leased.model import JobSpec, QueueConfig, StepSpec
 from gentianmux.leased.resources import Resources
@@ -61,7 +61,7 @@
     def app(environ, start_response):  # type: ignore[no-untyped-def]
         ticket = entry.ticket()
         entry.refuse(ticket)
-        wait_for_verdict(entry, ticket, environ["gentianmux.socket"])
+        wait_for_result(entry, ticket, environ["gentianmux.socket"])
         headers = [("Content-Length", "0"), ("Connection", "close")]
         start_response("503 Service Unavailable", headers)
         return [b""]
@@ -90,7 +90,7 @@
 
 def waiting_on(sock: gsocket.socket, entry: RefusingEntry) -> Ticket:
     ticket = entry.ticket()
-    gevent.spawn(wait_for_verdict, entry, ticket, sock)
+    gevent.spawn(wait_for_result, entry, ticket, sock)
     gevent.sleep(0.01)
     return ticket
 
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -19,7 +19,7 @@
     retry_after_s,
     urgency,
 )
-from gentianmux.leased.entry_leases import ENTRY_LEASE_S, EntryLeases, surely_over
+from gentianmux.leased.entry_leases import ENTRY_LEASE_S, EntryLeases, leases_expire_at
 from gentianmux.leased.fleet_view import LOOKED_AT, FleetView, Wish
 from gentianmux.leased.health import FAILED_IN_A_ROW, EndpointHealth
 from gentianmux.leased.job_state import JobState, Phase, Prospect
@@ -74,7 +74,7 @@
 
 def test_all_leases_are_over_before_a_caller_sends_again() -> None:
     cfg = LeasedSettings("entry", "e", "fd", "", "")
-    assert surely_over(0.0, lease_s(cfg)) < cfg.resend_s
+    assert leases_expire_at(0.0, lease_s(cfg)) < cfg.resend_s
 
 
 # Health and progress
--- a/tests/test_walks.py
+++ b/tests/test_walks.py
@@ -10,7 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from bench.world import World
-from gentianmux import start_records, traces
+from gentianmux import start_records, trace_collector
 from gentianmux.fleet_state import FleetState, Shard
 from gentianmux.lease import HeirLease, OwnerLease
 from gentianmux.ledger import Ledger
@@ -161,7 +161,7 @@
     "no age rule": (Ledger, "_new_after", _always(0)),
     "no lease": (OwnerLease, "is_valid", _valid_without_lease),
     "departed agents forgotten": (FleetState, "traces_lost_until", _always(0)),
-    "silent agents ignored": (traces.TraceCollector, "_is_whole", _always(True)),
+    "silent agents ignored": (trace_collector.TraceCollector, "_is_whole", _always(True)),
     "start records ignored": (
         start_records.StartRecords,
         "traces",
