--- a/bench/leased_world.py
+++ b/bench/leased_world.py
@@ -32,7 +32,7 @@
 )
 from gentianmux.leased.resources import Resources
 from gentianmux.leased.settings import LeasedSettings, lease_s
-from gentianmux.leased.ticket import Ticket
+from gentianmux.leased.ticket import JobHandle
 from gentianmux.messages import PROTOCOL_VERSION, Hello, Message
 from gentianmux.metrics import Metrics
 from gentianmux.platform_log import MemoryKeyedLog
@@ -80,7 +80,7 @@
     queue: QueueConfig
     at: float
     ideal_s: float
-    ticket: Ticket
+    ticket: JobHandle
     ended_at: float = field(default=0.0)
 
 
--- a/bench/world.py
+++ b/bench/world.py
@@ -166,12 +166,12 @@
         self._world = world
         executor.launch = self._launch  # type: ignore[method-assign]
         Witness(self.ctx)
-        self.watch = StreamReader(self.ctx)
+        self.stream_reader = StreamReader(self.ctx)
         self.paused = False
         self.dead = False
         self.silent_since: float | None = None
         for period_s, step in (
-            (0.5, self.watch.read),
+            (0.5, self.stream_reader.read),
             (0.5, self.ctx.shard_manager.step),
             (0.2, self.ctx.coordinator.step),
             (1.0, self._react),
--- a/src/gentianmux/handlers.py
+++ b/src/gentianmux/handlers.py
@@ -150,12 +150,12 @@
 
 @handle.register
 def _(msg: StatePull, ctx: NodeContext, sender: str) -> None:
-    ctx.watch.on_pull(msg, sender)
+    ctx.stream_reader.on_pull(msg, sender)
 
 
 @handle.register
 def _(msg: StateBody, ctx: NodeContext, sender: str) -> None:
-    ctx.watch.on_body(msg)
+    ctx.stream_reader.on_body(msg)
 
 
 @handle.register
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -94,7 +94,9 @@
         ctx = AgentContext(cfg, driver, links, feed, metrics, clock)
         self._ctx = ctx
         self._config_transfer = ConfigTransfer(feed, links, clock)
-        self._sharing = EvacuationBroadcast(feed.evacuations, links, self._on_evacuations)
+        self._evacuation_broadcast = EvacuationBroadcast(
+            feed.evacuations, links, self._on_evacuations
+        )
         self._idle_since: float | None = None
         self.on_endpoint: Callable[[EndpointReport | None], None] = lambda report: None
         self._stops = RunStops(ctx)
@@ -275,7 +277,7 @@
 
     @on_message.register
     def _(self, msg: Evacuated, entry: str) -> None:
-        self._sharing.take(msg, entry)
+        self._evacuation_broadcast.take(msg, entry)
 
     def _on_evacuations(self, _evacuations: Evacuations) -> None:
         self._tell_state()
@@ -310,7 +312,7 @@
         entry = hello.process
         held = [RunRef(*run.key) for run in self._ctx.table.of_entry(entry)]
         held += [RunRef(*key) for key in sorted(self._starts.replacing)]
-        self._sharing.greet(entry)
+        self._evacuation_broadcast.greet(entry)
         self._ctx.links.send(entry, self._state())
         self._ctx.links.send(entry, Holding(self._ctx.reports.applied.get(entry, 0), held))
         self._ctx.reports.resend_ended(entry)
--- a/src/gentianmux/leased/agent_context.py
+++ b/src/gentianmux/leased/agent_context.py
@@ -9,12 +9,12 @@
 from .endpoint_tracker import EndpointTracker
 from .entry_reports import EntryReports
 from .health import EndpointHealth
-from .leaving import NO_BOUND_MS, longest_ms
 from .links import Links
 from .model import EndpointDriver, EndpointReport, RunOutcome
 from .resources import NO_RESOURCES, Resources
 from .run_table import Finished, RunTable
 from .settings import LeasedSettings, lease_s
+from .shutdown import NO_BOUND_MS, longest_ms
 
 
 class AgentContext:
--- a/src/gentianmux/leased/caller_watch.py
+++ b/src/gentianmux/leased/caller_watch.py
@@ -8,7 +8,7 @@
 
 from .entry import Entry
 from .job_state import JobOutcome
-from .ticket import Ticket, Verdict
+from .ticket import JobHandle, Verdict
 
 LAST_WORD_S = 0.5
 """Seconds beyond its deadline in which a job's verdict must have come; the entry checks deadlines
@@ -18,14 +18,14 @@
 """What the event loop is asked to watch for: bytes, or the end of the connection."""
 
 
-def wait_for_result(entry: Entry, ticket: Ticket, sock: Any) -> Verdict:
+def wait_for_result(entry: Entry, ticket: JobHandle, sock: Any) -> Verdict:
     """Wait for a job's verdict; the job is stopped when its last caller leaves.
 
     Parameters
     ----------
     entry : Entry
         Coordinates the job.
-    ticket : Ticket
+    ticket : JobHandle
         The job.
     sock : socket or None
         The caller's connection.
@@ -56,7 +56,7 @@
     ----------
     entry : Entry
         Coordinates the job.
-    ticket : Ticket
+    ticket : JobHandle
         The job.
     sock : socket
         The caller's connection.
@@ -66,7 +66,7 @@
     ``watch = CallerWatch(entry, ticket, sock)``, and ``watch.stop()`` before the answer is sent.
     """
 
-    def __init__(self, entry: Entry, ticket: Ticket, sock: Any) -> None:
+    def __init__(self, entry: Entry, ticket: JobHandle, sock: Any) -> None:
         self._entry = entry
         self._ticket = ticket
         self._sock = sock
--- a/src/gentianmux/leased/directory.py
+++ b/src/gentianmux/leased/directory.py
@@ -12,7 +12,7 @@
 from ..errors import LogError
 from ..metrics import Metrics
 from ..platform_log import KeyedLog
-from ..typed_json import flag, number, read_object, table, text, texts, whole
+from ..typed_json import flag, get_str, number, read_object, table, texts, whole
 from .config_feed import AGAIN_S, WATCH_S
 from .model import EndpointReport
 from .resources import Resources
@@ -44,7 +44,7 @@
     """Read an announcement; None, with a log line, when it cannot be read."""
     try:
         content = read_object(value)
-        role, address = text(content, "role"), text(content, "address")
+        role, address = get_str(content, "role"), get_str(content, "address")
         if role not in ROLES:
             raise ValueError(f"role {role[:40]!r} is not known")
         _check_address(address)
@@ -73,10 +73,10 @@
         raise ValueError("capacity is no list of amounts")
     amounts = dict(zip(Resources._fields, room, strict=True))
     return EndpointReport(
-        endpoint=text(report, "endpoint"),
-        address=text(report, "address"),
-        service=text(report, "service"),
-        failure_domain=text(report, "failure_domain"),
+        endpoint=get_str(report, "endpoint"),
+        address=get_str(report, "address"),
+        service=get_str(report, "service"),
+        failure_domain=get_str(report, "failure_domain"),
         capacity=Resources(*(whole(amounts, name) for name in Resources._fields)),
         labels=texts(report, "labels"),
         draining=flag(report, "draining"),
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -27,13 +27,13 @@
 from .evacuations import Evacuations
 from .fleet_view import FleetView
 from .job_state import JobOutcome, JobState, longest_chain_s
-from .leaving import ends_in_time
 from .links import Links
 from .model import JobSpec, QueueConfig, RunOutcome
 from .placing import Placing
 from .resources import NO_RESOURCES
 from .run_ends import RunEnds
-from .ticket import Ticket, Verdict
+from .shutdown import ends_in_time
+from .ticket import JobHandle, Verdict
 
 STEP_S = 0.01
 """Seconds between checks of deadlines and refusals, a quarter of the time in which the shortest
@@ -84,7 +84,9 @@
     ) -> None:
         self._ctx = EntryContext(view, links, feed, metrics, clock, link_bytes_s)
         self._config_transfer = ConfigTransfer(feed, links, clock)
-        self._sharing = EvacuationBroadcast(feed.evacuations, links, self._on_evacuations)
+        self._evacuation_broadcast = EvacuationBroadcast(
+            feed.evacuations, links, self._on_evacuations
+        )
         self._ends = RunEnds(self._ctx)
         self._admitting = Admitting(self._ctx)
         self._placer = Placing(self._ctx, self._ends, self._admitting.admissions)
@@ -96,7 +98,7 @@
         links.on_message = self.on_message
 
     @property
-    def jobs(self) -> dict[str, Ticket]:
+    def jobs(self) -> dict[str, JobHandle]:
         """Jobs at work here, by their ids."""
         return self._ctx.jobs
 
@@ -108,7 +110,7 @@
 
     # Jobs
 
-    def submit(self, spec: JobSpec, queue: QueueConfig, time_limit_s: float) -> Ticket:
+    def submit(self, spec: JobSpec, queue: QueueConfig, time_limit_s: float) -> JobHandle:
         """Admit a job, or join the one of the same id that is at work here."""
         running = self._ctx.jobs.get(spec.job_id)
         if running is not None:
@@ -116,7 +118,7 @@
             return running
         now = self._ctx.clock.now()
         job = JobState(spec, queue, now, now + time_limit_s)
-        ticket = Ticket(job)
+        ticket = JobHandle(job)
         self._ctx.jobs[spec.job_id] = ticket
         self._ctx.backlog.put(job)
         self._ctx.metrics.count("jobs_admitted")
@@ -140,7 +142,7 @@
             self._ctx.finish(ticket.job, Verdict(JobOutcome.CANCELLED, "cancelled by its caller"))
         return ticket is not None
 
-    def abandon(self, ticket: Ticket, reason: str) -> None:
+    def abandon(self, ticket: JobHandle, reason: str) -> None:
         """Stop a job that nobody waits for any more."""
         self._ctx.finish(ticket.job, Verdict(JobOutcome.UNKNOWN, reason))
 
@@ -205,7 +207,7 @@
 
     @on_message.register
     def _(self, msg: Evacuated, agent: str) -> None:
-        self._sharing.take(msg, agent)
+        self._evacuation_broadcast.take(msg, agent)
 
     def _on_evacuations(self, evacuations: Evacuations) -> None:
         self._ctx.view.evacuated = evacuations.failure_domains
@@ -215,7 +217,7 @@
 
     def _on_open(self, hello: Hello) -> None:
         # Before anything is assigned there: the agent may have just started.
-        self._sharing.greet(hello.process)
+        self._evacuation_broadcast.greet(hello.process)
         self._ends.opened_at[hello.process] = self._ctx.clock.now()
         self._ctx.window.forget(hello.process)
         # The connection may have taken the place of a silent one, and the chain be nearly over.
--- a/src/gentianmux/leased/entry_context.py
+++ b/src/gentianmux/leased/entry_context.py
@@ -14,7 +14,7 @@
 from .job_state import JobOutcome, JobState
 from .links import Links
 from .send_window import SendWindow
-from .ticket import Ticket, Verdict
+from .ticket import JobHandle, Verdict
 
 CLAIMS_S = 0.01
 """Seconds for which worked-out claims hold while nothing else waits than before: how soon the most
@@ -68,7 +68,7 @@
         self.feed = feed
         self.metrics = metrics
         self.clock = clock
-        self.jobs: dict[str, Ticket] = {}
+        self.jobs: dict[str, JobHandle] = {}
         self.backlog = Backlog()
         self.window = SendWindow(link_bytes_s)
         self.out: defaultdict[str, dict[tuple[str, int], JobState]] = defaultdict(dict)
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -8,9 +8,9 @@
 from ..messages import AgentLoad, EndpointState
 from .claiming import Signature
 from .entry_leases import ENTRY_LEASE_S, leases_expire_at
-from .leaving import NO_BOUND_MS
 from .model import instance_of
 from .resources import NO_RESOURCES, Resources
+from .shutdown import NO_BOUND_MS
 
 SILENT_S = ENTRY_LEASE_S - 0.05
 """Seconds without a load report after which an agent gets nothing new: what is assigned later comes
--- a/src/gentianmux/leased/ticket.py
+++ b/src/gentianmux/leased/ticket.py
@@ -15,7 +15,7 @@
     retry_after_s: int = 0
 
 
-class Ticket:
+class JobHandle:
     """A job at work, for those who wait for its answer.
 
     Examples
--- a/src/gentianmux/node.py
+++ b/src/gentianmux/node.py
@@ -66,7 +66,7 @@
         self.ctx = NodeContext(cfg, announce(cfg), log or HttpLog(cfg.log_url))
         self.peers = Peers(self.ctx, handle, lambda name, conn: on_lost(name, conn, self.ctx))
         self.gossip = GossipServer(self.ctx)
-        self.watch = StreamReader(self.ctx)
+        self.stream_reader = StreamReader(self.ctx)
         self.witness = Witness(self.ctx)
         self.ctx.members.on_change = self.witness.on_change
         if self.ctx.is_agent:
@@ -90,7 +90,7 @@
         self.peers.start()
         self.gossip.start()
         self.http.start()
-        loops = [self.watch.run, self.gossip.run, self._upkeep]
+        loops = [self.stream_reader.run, self.gossip.run, self._upkeep]
         if self.ctx.is_agent:
             ctx = self.ctx
             loops += [ctx.shard_manager.run_leases, ctx.coordinator.run_backlog]
@@ -105,7 +105,7 @@
             self.ctx.metrics.gauge("loop_lag_ms", max(0.0, (self.ctx.now() - due) * 1000))
             self.ctx.metrics.flush()
             self.witness.check_dead()
-            self.watch.append_snapshots()
+            self.stream_reader.append_snapshots()
             if self.ctx.is_agent:
                 self.ctx.shard_manager.trim()
                 self.ctx.executor.records.trim(self.ctx.now_ms())
@@ -131,7 +131,7 @@
             if ctx.is_agent:
                 ctx.shard_manager.moves.release_all()
             gevent.sleep(DRAIN_STEP_S)
-        self.watch.leave(self._hand_over_records(until))
+        self.stream_reader.leave(self._hand_over_records(until))
         return True
 
     def _hand_over_records(self, until: float) -> str:
--- a/src/gentianmux/node_context.py
+++ b/src/gentianmux/node_context.py
@@ -53,7 +53,7 @@
     coordinator: "Coordinator"
     executor: "Executor"
     witness: "Witness"
-    watch: "LogWatch"
+    stream_reader: "LogWatch"
     placement: "Placement"
 
     def __init__(
--- a/src/gentianmux/platform/endpoint.py
+++ b/src/gentianmux/platform/endpoint.py
@@ -19,7 +19,7 @@
     StartResult,
 )
 from ..leased.resources import Resources
-from ..typed_json import number, read_object, table, text, texts, whole
+from ..typed_json import get_str, number, read_object, table, texts, whole
 from .http_client import HttpCaller, HttpReply
 
 START_S = 0.08
@@ -75,15 +75,15 @@
         something else, and what it means by the rest cannot be relied on.
     """
     room = table(content, "capacity")
-    state = text(content, "state")
+    state = get_str(content, "state")
     if state not in _STATES:
         raise ValueError(f"state {state[:40]!r} is not known")
     return EndpointReport(
         endpoint=endpoint,
-        address=text(content, "address", address),
-        service=text(content, "service"),
+        address=get_str(content, "address", address),
+        service=get_str(content, "service"),
         # ``zone`` is what this project calls a failure domain.
-        failure_domain=text(content, "zone"),
+        failure_domain=get_str(content, "zone"),
         capacity=Resources(whole(room, "cpu"), whole(room, "mem_mb"), whole(room, "gpu", 0)),
         labels=texts(content, "labels"),
         draining=state == "draining",
--- a/src/gentianmux/stream_reader.py
+++ b/src/gentianmux/stream_reader.py
@@ -22,11 +22,11 @@
     Parameters
     ----------
     ctx : NodeContext
-        The blackboard; this puts itself there as ``watch``.
+        The blackboard; this puts itself there as ``stream_reader``.
     """
 
     def __init__(self, ctx: NodeContext) -> None:
-        ctx.watch = self
+        ctx.stream_reader = self
         self._ctx = ctx
         self.followers = {
             config_state.STREAM: Follower(ctx.log, config_state.STREAM, ctx.config),
--- a/src/gentianmux/typed_json.py
+++ b/src/gentianmux/typed_json.py
@@ -35,7 +35,7 @@
     raise ValueError(f"{name} is no number")
 
 
-def text(content: Mapping[str, Any], name: str, default: Any = _MISSING) -> str:
+def get_str(content: Mapping[str, Any], name: str, default: Any = _MISSING) -> str:
     """A text field that is not empty; raises ``ValueError`` for anything else."""
     value = content.get(name, default)
     if value is default and default is not _MISSING:
--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -19,7 +19,7 @@
 from gentianmux.leased.job_state import JobOutcome, JobState
 from gentianmux.leased.model import JobSpec, QueueConfig, StepSpec
 from gentianmux.leased.resources import Resources
-from gentianmux.leased.ticket import Ticket, Verdict
+from gentianmux.leased.ticket import JobHandle, Verdict
 from gentianmux.settings import Settings
 
 QUEUE = QueueConfig("q", "h", "/q/", "s", 5000, 60, 0, 3, 1.6)
@@ -37,16 +37,16 @@
     def now(self) -> float:
         return 0.0
 
-    def abandon(self, ticket: Ticket, reason: str) -> None:
+    def abandon(self, ticket: JobHandle, reason: str) -> None:
         self.abandoned.append(reason)
         ticket.verdict = Verdict(JobOutcome.UNKNOWN, reason)
         ticket.done.set()
 
-    def ticket(self) -> Ticket:
+    def ticket(self) -> JobHandle:
         spec = JobSpec("0" * 16, "", (StepSpec(1, Resources(1, 1), 1),))
-        return Ticket(JobState(spec, QUEUE, 0.0, 9.0))
+        return JobHandle(JobState(spec, QUEUE, 0.0, 9.0))
 
-    def refuse(self, ticket: Ticket) -> None:
+    def refuse(self, ticket: JobHandle) -> None:
         ticket.verdict = Verdict(JobOutcome.NOT_RUN, "no room")
         if self._later:
             gevent.spawn(ticket.done.set)
@@ -88,7 +88,7 @@
         assert (found.returncode, found.stdout) == (0, "served 4000\n"), found.stderr[-500:]
 
 
-def waiting_on(sock: gsocket.socket, entry: RefusingEntry) -> Ticket:
+def waiting_on(sock: gsocket.socket, entry: RefusingEntry) -> JobHandle:
     ticket = entry.ticket()
     gevent.spawn(wait_for_result, entry, ticket, sock)
     gevent.sleep(0.01)
