--- a/bench/leased_world.py
+++ b/bench/leased_world.py
@@ -80,7 +80,7 @@
     queue: QueueConfig
     at: float
     ideal_s: float
-    ticket: JobHandle
+    handle: JobHandle
     ended_at: float = field(default=0.0)
 
 
@@ -115,7 +115,7 @@
     >>> world.run(1.0)
     >>> job = world.submit("e0", tasks=4, run_s=0.1)
     >>> world.run(1.0)
-    >>> job.ticket.verdict.outcome.value
+    >>> job.handle.verdict.outcome.value
     'completed'
     """
 
@@ -478,13 +478,13 @@
             self.works[f"{name}.0.0.{index}"] = (step, Work(each_s, failures))
         node = self.entries[entry]
         assert node.entry is not None
-        ticket = node.entry.submit(spec, queue, time_limit_s)
-        asked = Asked(spec, queue, self.time, run_s, ticket)
+        handle = node.entry.submit(spec, queue, time_limit_s)
+        asked = Asked(spec, queue, self.time, run_s, handle)
         self.asked.append(asked)
-        if ticket.verdict is not None:
+        if handle.verdict is not None:
             asked.ended_at = self.time
         else:
-            ticket.done = _EndNote(self, asked)
+            handle.done = _EndNote(self, asked)
         return asked
 
     def note_start(self, endpoint: FakeEndpoint, task: str, late: bool) -> None:
@@ -503,7 +503,7 @@
         """Jobs of which every submission was said not to have run, though a task has started."""
         answers: dict[str, set[str]] = defaultdict(set)
         for each in self.asked:
-            verdict = each.ticket.verdict
+            verdict = each.handle.verdict
             answers[each.spec.job_id].add("none" if verdict is None else verdict.outcome.value)
         refused = [job_id for job_id, given in answers.items() if given == {"not_run"}]
         started = {task.partition(".")[0] for task in self.started}
--- a/src/gentianmux/coordinator.py
+++ b/src/gentianmux/coordinator.py
@@ -7,7 +7,7 @@
 from .codes import ResultCode
 from .errors import GentianmuxError
 from .job import Job, Phase, Waiter
-from .ledger import Ruling, Verdict
+from .ledger import AdmissionDecision, Ruling
 from .membership import State
 from .messages import (
     Answer,
@@ -66,13 +66,13 @@
 
     def apply_ruling(self, ruling: Ruling, msg: Submit, waiter: Waiter) -> None:
         """Carry out what the ledger said."""
-        if ruling.verdict is Verdict.ADMIT:
+        if ruling.verdict is AdmissionDecision.ADMIT:
             self._admit(msg, waiter, ruling.attempt)
-        elif ruling.verdict is Verdict.JOIN:
+        elif ruling.verdict is AdmissionDecision.JOIN:
             self._join(msg.key, msg.wait, waiter)
-        elif ruling.verdict is Verdict.KEPT:
+        elif ruling.verdict is AdmissionDecision.KEPT:
             self._answer(msg.key, ruling.code, ruling.answer, [waiter])
-        elif ruling.verdict is Verdict.ASK:
+        elif ruling.verdict is AdmissionDecision.ASK:
             self._ctx.shard_manager.ask_traces(msg, waiter)
         else:
             self._refuse(msg.key, ruling.code, waiter)
@@ -145,9 +145,9 @@
         ruling = self._ctx.shard_manager.owned[shard].ledger.kept(msg.key)
         if ruling is None:
             self._refuse(msg.key, ResultCode.JOB_UNKNOWN, waiter)
-        elif ruling.verdict is Verdict.JOIN:
+        elif ruling.verdict is AdmissionDecision.JOIN:
             self._join(msg.key, msg.wait, waiter)
-        elif ruling.verdict is Verdict.KEPT:
+        elif ruling.verdict is AdmissionDecision.KEPT:
             self._answer(msg.key, ruling.code, ruling.answer, [waiter])
         else:
             code = ruling.code if ruling.code is not ResultCode.OK else ResultCode.TASK_NOT_RUN
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -273,7 +273,7 @@
         self._chain.echoed(entry, msg.number)
         self._ctx.reports.seen(entry, msg.seen)
         self._ctx.reports.claimed(entry, msg.claims, msg.gives_back)
-        self._config_transfer.heard_of(entry, msg.config_version)
+        self._config_transfer.on_version(entry, msg.config_version)
 
     @on_message.register
     def _(self, msg: Evacuated, entry: str) -> None:
--- a/src/gentianmux/leased/caller_watch.py
+++ b/src/gentianmux/leased/caller_watch.py
@@ -18,31 +18,31 @@
 """What the event loop is asked to watch for: bytes, or the end of the connection."""
 
 
-def wait_for_result(entry: Entry, ticket: JobHandle, sock: Any) -> Verdict:
+def wait_for_result(entry: Entry, handle: JobHandle, sock: Any) -> Verdict:
     """Wait for a job's verdict; the job is stopped when its last caller leaves.
 
     Parameters
     ----------
     entry : Entry
         Coordinates the job.
-    ticket : JobHandle
+    handle : JobHandle
         The job.
     sock : socket or None
         The caller's connection.
     """
-    ticket.waiters += 1
-    watch = None if sock is None else CallerWatch(entry, ticket, sock)
-    left_s = ticket.job.deadline - entry.now() + LAST_WORD_S
+    handle.waiters += 1
+    watch = None if sock is None else CallerWatch(entry, handle, sock)
+    left_s = handle.job.deadline - entry.now() + LAST_WORD_S
     try:
-        ticket.done.wait(max(LAST_WORD_S, left_s))
+        handle.done.wait(max(LAST_WORD_S, left_s))
     finally:
-        ticket.waiters -= 1
+        handle.waiters -= 1
         if watch is not None:
             watch.stop()
-    if ticket.verdict is None:
-        logger.bind(job=ticket.job.spec.job_id).error("no verdict in time")
-        entry.abandon(ticket, "no verdict in time")
-    return ticket.verdict or Verdict(JobOutcome.UNKNOWN, "no verdict in time")
+    if handle.verdict is None:
+        logger.bind(job=handle.job.spec.job_id).error("no verdict in time")
+        entry.abandon(handle, "no verdict in time")
+    return handle.verdict or Verdict(JobOutcome.UNKNOWN, "no verdict in time")
 
 
 class CallerWatch:
@@ -56,19 +56,19 @@
     ----------
     entry : Entry
         Coordinates the job.
-    ticket : JobHandle
+    handle : JobHandle
         The job.
     sock : socket
         The caller's connection.
 
     Examples
     --------
-    ``watch = CallerWatch(entry, ticket, sock)``, and ``watch.stop()`` before the answer is sent.
+    ``watch = CallerWatch(entry, handle, sock)``, and ``watch.stop()`` before the answer is sent.
     """
 
-    def __init__(self, entry: Entry, ticket: JobHandle, sock: Any) -> None:
+    def __init__(self, entry: Entry, handle: JobHandle, sock: Any) -> None:
         self._entry = entry
-        self._ticket = ticket
+        self._ticket = handle
         self._sock = sock
         self._watcher = gevent.get_hub().loop.io(sock.fileno(), READABLE)
         self._watcher.start(self._on_readable)
--- a/src/gentianmux/leased/config_transfer.py
+++ b/src/gentianmux/leased/config_transfer.py
@@ -52,7 +52,7 @@
 
     Examples
     --------
-    ``handing.heard_of("e1.5", 7)`` when a peer says that it has version 7;
+    ``handing.on_version("e1.5", 7)`` when a peer says that it has version 7;
     ``handing.wanted(msg, "e1.5")`` and ``handing.take(msg, "e1.5")`` for what it sends.
     """
 
@@ -65,7 +65,7 @@
         self._sending = False
         self._packed: tuple[int, bytes] = (-1, b"")
 
-    def heard_of(self, process: str, version: int) -> None:
+    def on_version(self, process: str, version: int) -> None:
         """Ask a peer for its configuration if it is newer, and nobody is being asked."""
         if version <= self._feed.version:
             return
--- a/src/gentianmux/leased/directory.py
+++ b/src/gentianmux/leased/directory.py
@@ -12,7 +12,7 @@
 from ..errors import LogError
 from ..metrics import Metrics
 from ..platform_log import KeyedLog
-from ..typed_json import flag, get_str, number, read_object, table, texts, whole
+from ..typed_json import flag, get_str, get_str_list, number, read_object, table, whole
 from .config_feed import AGAIN_S, WATCH_S
 from .model import EndpointReport
 from .resources import Resources
@@ -78,7 +78,7 @@
         service=get_str(report, "service"),
         failure_domain=get_str(report, "failure_domain"),
         capacity=Resources(*(whole(amounts, name) for name in Resources._fields)),
-        labels=texts(report, "labels"),
+        labels=get_str_list(report, "labels"),
         draining=flag(report, "draining"),
         drain_remaining_s=number(report, "drain_remaining_s"),
         sequence=whole(report, "sequence"),
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -118,13 +118,13 @@
             return running
         now = self._ctx.clock.now()
         job = JobState(spec, queue, now, now + time_limit_s)
-        ticket = JobHandle(job)
-        self._ctx.jobs[spec.job_id] = ticket
+        handle = JobHandle(job)
+        self._ctx.jobs[spec.job_id] = handle
         self._ctx.backlog.put(job)
         self._ctx.metrics.count("jobs_admitted")
         self._admitting.admissions[queue.service].arrived(job, now)
         self._placer.place()
-        return ticket
+        return handle
 
     def now(self) -> float:
         """Monotonic time in seconds, as deadlines of jobs are counted."""
@@ -137,14 +137,14 @@
 
     def cancel(self, job_id: str) -> bool:
         """Cancel a job; false when none of this id is at work here."""
-        ticket = self._ctx.jobs.get(job_id)
-        if ticket is not None:
-            self._ctx.finish(ticket.job, Verdict(JobOutcome.CANCELLED, "cancelled by its caller"))
-        return ticket is not None
+        handle = self._ctx.jobs.get(job_id)
+        if handle is not None:
+            self._ctx.finish(handle.job, Verdict(JobOutcome.CANCELLED, "cancelled by its caller"))
+        return handle is not None
 
-    def abandon(self, ticket: JobHandle, reason: str) -> None:
+    def abandon(self, handle: JobHandle, reason: str) -> None:
         """Stop a job that nobody waits for any more."""
-        self._ctx.finish(ticket.job, Verdict(JobOutcome.UNKNOWN, reason))
+        self._ctx.finish(handle.job, Verdict(JobOutcome.UNKNOWN, reason))
 
     # Messages of agents
 
@@ -159,7 +159,7 @@
         now = self._ctx.clock.now()
         view.take_load(msg, now)
         self._ctx.window.told(agent, msg.applied, now)
-        self._config_transfer.heard_of(agent, msg.config_version)
+        self._config_transfer.on_version(agent, msg.config_version)
         if view.free.cpu > 0:
             self._placer.call_soon()
         # Room that is granted to what no longer waits is for another entry.
@@ -254,9 +254,9 @@
     def step(self) -> None:
         """One round: passed deadlines, jobs that cannot be in time, placing."""
         now = self._ctx.clock.now()
-        for ticket in list(self._ctx.jobs.values()):
-            if now >= ticket.job.deadline:
-                self._ctx.give_up(ticket.job, "deadline passed")
+        for handle in list(self._ctx.jobs.values()):
+            if now >= handle.job.deadline:
+                self._ctx.give_up(handle.job, "deadline passed")
         self._correct_window(now)
         if self._ctx.backlog:
             self._admitting.decide(now)
@@ -286,8 +286,8 @@
         while not self.has_left() and self._ctx.clock.now() < until:
             gevent.sleep(LEAVE_CHECK_S)
         self._shutdown_at = self._ctx.clock.now()
-        for ticket in list(self._ctx.jobs.values()):
-            self._ctx.give_up(ticket.job, "the entry ends")
+        for handle in list(self._ctx.jobs.values()):
+            self._ctx.give_up(handle.job, "the entry ends")
 
     def begin_leaving(self, until: float) -> None:
         """Take only what can be expected to end before ``until``."""
--- a/src/gentianmux/leased/entry_context.py
+++ b/src/gentianmux/leased/entry_context.py
@@ -78,12 +78,12 @@
 
     def finish(self, job: JobState, verdict: Verdict) -> None:
         """End a job: take its runs back, and hand its verdict to those who wait."""
-        ticket = self.jobs.pop(job.spec.job_id, None)
-        if ticket is None:
+        handle = self.jobs.pop(job.spec.job_id, None)
+        if handle is None:
             return
         self.backlog.drop(job)
         self._withdraw(job)
-        ticket.verdict = verdict
+        handle.verdict = verdict
         took_s = self.clock.now() - job.arrived
         self.metrics.count("jobs_ended", label=verdict.outcome.value)
         self.metrics.observe("job_seconds", took_s, label=job.queue.name)
@@ -98,7 +98,7 @@
             began=job.began,
             tasks=len(job.tasks),
         ).info("job ended")
-        ticket.done.set()
+        handle.done.set()
 
     def _withdraw(self, job: JobState) -> None:
         by_agent: dict[str, list[RunRef]] = defaultdict(list)
--- a/src/gentianmux/leased/entry_leases.py
+++ b/src/gentianmux/leased/entry_leases.py
@@ -49,7 +49,7 @@
     Examples
     --------
     >>> side = EntryLeases()
-    >>> side.sent(1, 10.0)
+    >>> side.record_sent(1, 10.0)
     >>> side.echoed("e1", 1)
     >>> side.holds("e1", 10.2), side.holds("e1", 10.5)
     (True, False)
@@ -59,7 +59,7 @@
         self._sent: deque[tuple[int, float]] = deque(maxlen=KEPT_REPORTS)
         self._until: dict[str, float] = {}
 
-    def sent(self, number: int, now: float) -> None:
+    def record_sent(self, number: int, now: float) -> None:
         """Note the time at which a report leaves."""
         self._sent.append((number, now))
 
--- a/src/gentianmux/leased/entry_reports.py
+++ b/src/gentianmux/leased/entry_reports.py
@@ -165,7 +165,7 @@
     def _report(self, entries: list[str]) -> None:
         self._number += 1
         now = self._clock.now()
-        self.chain.sent(self._number, now)
+        self.chain.record_sent(self._number, now)
         load = self._load()
         sharing = self.chain.holding(now)
         offers = self.grants.offers(self._in_turn(), load.offered, now)
--- a/src/gentianmux/leased/ticket.py
+++ b/src/gentianmux/leased/ticket.py
@@ -20,7 +20,7 @@
 
     Examples
     --------
-    ``ticket.done.wait(timeout_s)`` and then ``ticket.verdict``.
+    ``handle.done.wait(timeout_s)`` and then ``handle.verdict``.
     """
 
     def __init__(self, job: JobState) -> None:
--- a/src/gentianmux/ledger.py
+++ b/src/gentianmux/ledger.py
@@ -12,7 +12,7 @@
 FINGERPRINT_BYTES = 64
 
 
-class Verdict(Enum):
+class AdmissionDecision(Enum):
     """What the ledger says of a submission."""
 
     ADMIT = "admit"
@@ -25,7 +25,7 @@
 class Ruling(NamedTuple):
     """A verdict, with the code of a refusal or of a kept answer."""
 
-    verdict: Verdict
+    verdict: AdmissionDecision
     code: ResultCode = ResultCode.OK
     answer: bytes = b""
     attempt: int = 0
@@ -89,32 +89,34 @@
         if submitted_ms == NO_TIME:
             return self._rule_timeless(key)
         if submitted_ms <= max(self.horizon_ms, now_ms - self.bounds.keep_ms):
-            return Ruling(Verdict.REFUSE, ResultCode.ID_EXPIRED)
+            return Ruling(AdmissionDecision.REFUSE, ResultCode.ID_EXPIRED)
         if self._is_full():
-            return Ruling(Verdict.REFUSE, ResultCode.LEDGER_FULL)
+            return Ruling(AdmissionDecision.REFUSE, ResultCode.LEDGER_FULL)
         if submitted_ms <= self._new_after():
-            return Ruling(Verdict.ASK)
-        return Ruling(Verdict.ADMIT)
+            return Ruling(AdmissionDecision.ASK)
+        return Ruling(AdmissionDecision.ADMIT)
 
     def _rule_known(self, entry: _Entry, digest: bytes) -> Ruling:
         if entry.digest != digest:
-            return Ruling(Verdict.REFUSE, ResultCode.ID_REUSED)
+            return Ruling(AdmissionDecision.REFUSE, ResultCode.ID_REUSED)
         if entry.running:
-            return Ruling(Verdict.JOIN)
+            return Ruling(AdmissionDecision.JOIN)
         if entry.attempt:
-            return Ruling(Verdict.ADMIT, attempt=entry.attempt)
+            return Ruling(AdmissionDecision.ADMIT, attempt=entry.attempt)
         if not entry.answer:
-            return Ruling(Verdict.REFUSE, ResultCode.ANSWER_FORGOTTEN)
-        return Ruling(Verdict.KEPT, entry.code, entry.answer)
+            return Ruling(AdmissionDecision.REFUSE, ResultCode.ANSWER_FORGOTTEN)
+        return Ruling(AdmissionDecision.KEPT, entry.code, entry.answer)
 
     def _rule_timeless(self, key: str) -> Ruling:
         if fingerprint(key) in self._seen:
-            return Ruling(Verdict.REFUSE, ResultCode.ID_EXPIRED)
+            return Ruling(AdmissionDecision.REFUSE, ResultCode.ID_EXPIRED)
         if self.timeless_lost:
-            return Ruling(Verdict.REFUSE, ResultCode.ID_WITHOUT_TIME)
+            return Ruling(AdmissionDecision.REFUSE, ResultCode.ID_WITHOUT_TIME)
         if self._is_full():
-            return Ruling(Verdict.REFUSE, ResultCode.LEDGER_FULL)
-        return Ruling(Verdict.ASK if self.taken_over_ms != NO_TIME else Verdict.ADMIT)
+            return Ruling(AdmissionDecision.REFUSE, ResultCode.LEDGER_FULL)
+        return Ruling(
+            AdmissionDecision.ASK if self.taken_over_ms != NO_TIME else AdmissionDecision.ADMIT
+        )
 
     def _new_after(self) -> int:
         """Ids whose time is later than this cannot have been admitted by an earlier owner."""
--- a/src/gentianmux/platform/callers.py
+++ b/src/gentianmux/platform/callers.py
@@ -149,8 +149,8 @@
         spec = read_job(job_id, read_body(environ, self._cfg))
         if not self._entry.takes(spec):
             raise GentianmuxError(ResultCode.DRAINING, retry_after_ms=RETRY_AFTER_S * 1000)
-        ticket = self._entry.submit(spec, queue, time_limit_s)
-        verdict = wait_for_result(self._entry, ticket, environ.get("gentianmux.socket"))
+        handle = self._entry.submit(spec, queue, time_limit_s)
+        verdict = wait_for_result(self._entry, handle, environ.get("gentianmux.socket"))
         if verdict.outcome in _STATES:
             return Response(200, {"state": _STATES[verdict.outcome]})
         if verdict.outcome is JobOutcome.CANCELLED:
--- a/src/gentianmux/platform/endpoint.py
+++ b/src/gentianmux/platform/endpoint.py
@@ -19,7 +19,7 @@
     StartResult,
 )
 from ..leased.resources import Resources
-from ..typed_json import get_str, number, read_object, table, texts, whole
+from ..typed_json import get_str, get_str_list, number, read_object, table, whole
 from .http_client import HttpCaller, HttpReply
 
 START_S = 0.08
@@ -85,7 +85,7 @@
         # ``zone`` is what this project calls a failure domain.
         failure_domain=get_str(content, "zone"),
         capacity=Resources(whole(room, "cpu"), whole(room, "mem_mb"), whole(room, "gpu", 0)),
-        labels=texts(content, "labels"),
+        labels=get_str_list(content, "labels"),
         draining=state == "draining",
         drain_remaining_s=number(content, "drain_remaining_ms", 0) / 1000,
         sequence=whole(content, "seq"),
--- a/src/gentianmux/typed_json.py
+++ b/src/gentianmux/typed_json.py
@@ -45,7 +45,7 @@
     return value
 
 
-def texts(content: Mapping[str, Any], name: str) -> tuple[str, ...]:
+def get_str_list(content: Mapping[str, Any], name: str) -> tuple[str, ...]:
     """A list of texts, empty when the field is missing; raises ``ValueError`` for anything else."""
     value = content.get(name, ())
     if isinstance(value, str) or not isinstance(value, Sequence):
--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -37,21 +37,21 @@
     def now(self) -> float:
         return 0.0
 
-    def abandon(self, ticket: JobHandle, reason: str) -> None:
+    def abandon(self, handle: JobHandle, reason: str) -> None:
         self.abandoned.append(reason)
-        ticket.verdict = Verdict(JobOutcome.UNKNOWN, reason)
-        ticket.done.set()
+        handle.verdict = Verdict(JobOutcome.UNKNOWN, reason)
+        handle.done.set()
 
-    def ticket(self) -> JobHandle:
+    def handle(self) -> JobHandle:
         spec = JobSpec("0" * 16, "", (StepSpec(1, Resources(1, 1), 1),))
         return JobHandle(JobState(spec, QUEUE, 0.0, 9.0))
 
-    def refuse(self, ticket: JobHandle) -> None:
-        ticket.verdict = Verdict(JobOutcome.NOT_RUN, "no room")
+    def refuse(self, handle: JobHandle) -> None:
+        handle.verdict = Verdict(JobOutcome.NOT_RUN, "no room")
         if self._later:
-            gevent.spawn(ticket.done.set)
+            gevent.spawn(handle.done.set)
         else:
-            ticket.done.set()
+            handle.done.set()
 
 
 def serve_and_call(later: bool) -> None:
@@ -59,9 +59,9 @@
     entry = RefusingEntry(later)
 
     def app(environ, start_response):  # type: ignore[no-untyped-def]
-        ticket = entry.ticket()
-        entry.refuse(ticket)
-        wait_for_result(entry, ticket, environ["gentianmux.socket"])
+        handle = entry.handle()
+        entry.refuse(handle)
+        wait_for_result(entry, handle, environ["gentianmux.socket"])
         headers = [("Content-Length", "0"), ("Connection", "close")]
         start_response("503 Service Unavailable", headers)
         return [b""]
@@ -89,20 +89,20 @@
 
 
 def waiting_on(sock: gsocket.socket, entry: RefusingEntry) -> JobHandle:
-    ticket = entry.ticket()
-    gevent.spawn(wait_for_result, entry, ticket, sock)
+    handle = entry.handle()
+    gevent.spawn(wait_for_result, entry, handle, sock)
     gevent.sleep(0.01)
-    return ticket
+    return handle
 
 
 def test_a_caller_that_closes_is_noticed_and_one_that_sends_more_is_not_taken_for_gone() -> None:
     entry = RefusingEntry()
     ours, callers = gsocket.socketpair()
-    ticket = waiting_on(ours, entry)
+    handle = waiting_on(ours, entry)
     callers.sendall(b"next request")
     gevent.sleep(0.01)
     assert entry.abandoned == []
-    entry.refuse(ticket)
+    entry.refuse(handle)
     gevent.sleep(0.01)
     other, leaving = gsocket.socketpair()
     waiting_on(other, entry)
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -62,7 +62,7 @@
 def test_the_chain_counts_from_the_sending_of_the_report_that_was_echoed() -> None:
     side = EntryLeases()
     for number in range(1, 11):
-        side.sent(number, number / 10)
+        side.record_sent(number, number / 10)
     side.echoed("e", 3)
     assert side.holds("e", 0.3 + ENTRY_LEASE_S - 0.01)
     assert not side.holds("e", 0.3 + ENTRY_LEASE_S + 0.01)
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -20,7 +20,7 @@
 
 
 def outcome(asked: object) -> JobOutcome | None:
-    verdict = asked.ticket.verdict  # type: ignore[attr-defined]
+    verdict = asked.handle.verdict  # type: ignore[attr-defined]
     return None if verdict is None else verdict.outcome
 
 
@@ -70,8 +70,8 @@
     world.run(0.3)
     refused = [job for job in jobs if outcome(job) is JobOutcome.NOT_RUN]
     assert len(refused) >= 7
-    assert all(job.ticket.verdict.retry_after_s > 0 for job in refused if job.ticket.verdict)
-    quarter_s = jobs[0].ticket.job.objective_s / 4
+    assert all(job.handle.verdict.retry_after_s > 0 for job in refused if job.handle.verdict)
+    quarter_s = jobs[0].handle.job.objective_s / 4
     assert max(job.ended_at - job.at for job in refused) < quarter_s
     assert_kept(world)
 
@@ -249,7 +249,7 @@
 
 def _entry_lives(world: World, job: object) -> bool:
     tickets = [node.entry.jobs.values() for node in world.entries.values() if node.entry]
-    return any(job.ticket in each for each in tickets)  # type: ignore[attr-defined]
+    return any(job.handle in each for each in tickets)  # type: ignore[attr-defined]
 
 
 def _disturb(world: World, rng: Random) -> None:
@@ -305,7 +305,7 @@
 
 def _open_jobs(world: World, entry: str) -> list[Asked]:
     tickets = list(world.entries[entry].entry.jobs.values())  # type: ignore[union-attr]
-    return [job for job in world.asked if job.ticket in tickets]
+    return [job for job in world.asked if job.handle in tickets]
 
 
 def _break_callers(world: World, rng: Random, entry: str, machine: str) -> None:
@@ -316,7 +316,7 @@
         _send_again(world, rng, job)
         if rng.random() < 0.5:
             world.reset(machine, entry)
-        world.entries[entry].entry.abandon(job.ticket, "reset")  # type: ignore[union-attr]
+        world.entries[entry].entry.abandon(job.handle, "reset")  # type: ignore[union-attr]
 
 
 def _send_again(world: World, rng: Random, job: Asked) -> None:
@@ -330,7 +330,7 @@
 def test_the_objective_is_the_stretched_work_and_the_allowance() -> None:
     world = ready_world()
     job = world.submit("e0", tasks=2, run_s=0.5)
-    assert job.ticket.job.objective_s == pytest.approx(0.5 * QUEUE.stretch + 0.06)
+    assert job.handle.job.objective_s == pytest.approx(0.5 * QUEUE.stretch + 0.06)
 
 
 def test_lost_answers_to_looks_cost_no_run() -> None:
@@ -419,7 +419,7 @@
         view.offer(ENDPOINT_ROOM)
         view.heard_at = world.time
     entry._placer.place()
-    assert not late.ticket.job.began
+    assert not late.handle.job.began
 
 
 def test_a_look_at_an_earlier_life_says_nothing_of_the_present_one() -> None:
@@ -469,7 +469,7 @@
         world.reset(name, "e0")
     entry = world.entries["e0"].entry
     assert entry is not None
-    entry.abandon(job.ticket, "the caller's connection was reset as well")
+    entry.abandon(job.handle, "the caller's connection was reset as well")
     world.run(1.3)
     again = world.submit("e1", tasks=3, run_s=4.0, job_id=job.spec.job_id, time_limit_s=9.0)
     world.run(5.0)
@@ -533,7 +533,7 @@
         world.run(rng.expovariate(25.0))
     world.run(9.0)
     done = [job for job in world.asked if outcome(job) is JobOutcome.COMPLETED]
-    in_time = [job for job in done if job.ended_at - job.at <= job.ticket.job.objective_s]
+    in_time = [job for job in done if job.ended_at - job.at <= job.handle.job.objective_s]
     assert len(in_time) > 0.85 * len(world.asked)
     assert world.wasted_runs == 0
     assert_kept(world)
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -53,9 +53,9 @@
 
 
 def is_in_time(job) -> bool:  # type: ignore[no-untyped-def]
-    verdict = job.ticket.verdict
+    verdict = job.handle.verdict
     served = verdict is not None and verdict.outcome is JobOutcome.COMPLETED
-    return served and job.ended_at - job.at <= job.ticket.job.objective_s
+    return served and job.ended_at - job.at <= job.handle.job.objective_s
 
 
 @pytest.mark.parametrize("fault", ["none", "still", "killed"])
@@ -84,6 +84,6 @@
     assigned = [msg for msg in sent if isinstance(msg, Assign)]
     assert sum(len(msg.tasks) for msg in assigned) == 8
     assert sum(len(msg.payloads) for msg in assigned) == 2
-    assert {job.ticket.verdict.outcome for job in jobs if job.ticket.verdict} == {
+    assert {job.handle.verdict.outcome for job in jobs if job.handle.verdict} == {
         JobOutcome.COMPLETED
     }
