--- a/bench/leased_links.py
+++ b/bench/leased_links.py
@@ -66,7 +66,7 @@
             self.heard[sender] = self._world.time
             self.on_message(msg, sender)
 
-    def close_silent(self) -> None:
+    def close_idle(self) -> None:
         for process in list(self.open):
             if self._world.time - self.heard[process] > SILENT_S:
                 self.close(process)
--- a/bench/leased_speed.py
+++ b/bench/leased_speed.py
@@ -103,7 +103,7 @@
             self.assigned[process] += [(task.name, task.run) for task in msg.tasks]
         return True
 
-    def close_silent(self) -> None:
+    def close_idle(self) -> None:
         return
 
 
--- a/src/gentianmux/coordinator.py
+++ b/src/gentianmux/coordinator.py
@@ -7,7 +7,7 @@
 from .codes import ResultCode
 from .errors import GentianmuxError
 from .job import Job, Phase, Waiter
-from .ledger import AdmissionDecision, Ruling
+from .ledger import AdmissionDecision, AdmissionResult
 from .membership import State
 from .messages import (
     Answer,
@@ -64,7 +64,7 @@
         ruling = ledger.rule(msg.key, msg.digest, msg.submitted_ms, ctx.now_ms())
         self.apply_ruling(ruling, msg, waiter)
 
-    def apply_ruling(self, ruling: Ruling, msg: Submit, waiter: Waiter) -> None:
+    def apply_ruling(self, ruling: AdmissionResult, msg: Submit, waiter: Waiter) -> None:
         """Carry out what the ledger said."""
         if ruling.verdict is AdmissionDecision.ADMIT:
             self._admit(msg, waiter, ruling.attempt)
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -232,7 +232,7 @@
     @on_message.register
     def _(self, msg: Assign, entry: str) -> None:
         now = self._ctx.clock.now()
-        self._chain.echoed(entry, msg.echo)
+        self._chain.record_echo(entry, msg.echo)
         self._ctx.reports.applied[entry] = max(msg.number, self._ctx.reports.applied.get(entry, 0))
         fresh = self._chain.holds(entry, now)
         refused = False
@@ -270,7 +270,7 @@
 
     @on_message.register
     def _(self, msg: LoadEcho, entry: str) -> None:
-        self._chain.echoed(entry, msg.number)
+        self._chain.record_echo(entry, msg.number)
         self._ctx.reports.seen(entry, msg.seen)
         self._ctx.reports.claimed(entry, msg.claims, msg.gives_back)
         self._config_transfer.on_version(entry, msg.config_version)
@@ -300,7 +300,7 @@
             if self._chain.is_quiet(entry, now, self._ctx.has_runs_of(entry)):
                 self._ctx.links.renew(entry)
         self._ctx.reports.forget_silent(now)
-        self._ctx.links.close_silent()
+        self._ctx.links.close_idle()
 
     # Ends
 
--- a/src/gentianmux/leased/directory.py
+++ b/src/gentianmux/leased/directory.py
@@ -12,7 +12,7 @@
 from ..errors import LogError
 from ..metrics import Metrics
 from ..platform_log import KeyedLog
-from ..typed_json import flag, get_str, get_str_list, number, read_object, table, whole
+from ..typed_json import flag, get_int, get_str, get_str_list, number, read_object, table
 from .config_feed import AGAIN_S, WATCH_S
 from .model import EndpointReport
 from .resources import Resources
@@ -77,12 +77,12 @@
         address=get_str(report, "address"),
         service=get_str(report, "service"),
         failure_domain=get_str(report, "failure_domain"),
-        capacity=Resources(*(whole(amounts, name) for name in Resources._fields)),
+        capacity=Resources(*(get_int(amounts, name) for name in Resources._fields)),
         labels=get_str_list(report, "labels"),
         draining=flag(report, "draining"),
         drain_remaining_s=number(report, "drain_remaining_s"),
-        sequence=whole(report, "sequence"),
-        born=whole(report, "born", 0),
+        sequence=get_int(report, "sequence"),
+        born=get_int(report, "born", 0),
     )
 
 
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -249,7 +249,7 @@
         for process in list(self._ctx.view.agents):
             if self._ctx.view.is_over(process, now):
                 self._ends.lose(process, "silent for longer than every lease")
-        self._ctx.links.close_silent()
+        self._ctx.links.close_idle()
 
     def step(self) -> None:
         """One round: passed deadlines, jobs that cannot be in time, placing."""
--- a/src/gentianmux/leased/entry_leases.py
+++ b/src/gentianmux/leased/entry_leases.py
@@ -50,7 +50,7 @@
     --------
     >>> side = EntryLeases()
     >>> side.record_sent(1, 10.0)
-    >>> side.echoed("e1", 1)
+    >>> side.record_echo("e1", 1)
     >>> side.holds("e1", 10.2), side.holds("e1", 10.5)
     (True, False)
     """
@@ -63,7 +63,7 @@
         """Note the time at which a report leaves."""
         self._sent.append((number, now))
 
-    def echoed(self, entry: str, number: int) -> None:
+    def record_echo(self, entry: str, number: int) -> None:
         """Take an entry's echo; one of a report too old to be known extends nothing."""
         for known, sent_at in reversed(self._sent):
             if known == number:
--- a/src/gentianmux/leased/links.py
+++ b/src/gentianmux/leased/links.py
@@ -244,7 +244,7 @@
             logger.bind(peer=conn.process, reason=reason).warning("peer lost")
             self.on_close(conn.process)
 
-    def close_silent(self) -> None:
+    def close_idle(self) -> None:
         """Close connections on which nothing has come for long; they are opened anew."""
         now = self._clock.now()
         for process in list(self._open):
--- a/src/gentianmux/ledger.py
+++ b/src/gentianmux/ledger.py
@@ -22,7 +22,7 @@
     REFUSE = "refuse"
 
 
-class Ruling(NamedTuple):
+class AdmissionResult(NamedTuple):
     """A verdict, with the code of a refusal or of a kept answer."""
 
     verdict: AdmissionDecision
@@ -81,7 +81,7 @@
         self._entries: dict[str, _Entry] = {}
         self._seen: set[int] = set()
 
-    def rule(self, key: str, digest: bytes, submitted_ms: int, now_ms: int) -> Ruling:
+    def rule(self, key: str, digest: bytes, submitted_ms: int, now_ms: int) -> AdmissionResult:
         """Say what to do with a submission; changes nothing."""
         entry = self._entries.get(key)
         if entry is not None:
@@ -89,32 +89,32 @@
         if submitted_ms == NO_TIME:
             return self._rule_timeless(key)
         if submitted_ms <= max(self.horizon_ms, now_ms - self.bounds.keep_ms):
-            return Ruling(AdmissionDecision.REFUSE, ResultCode.ID_EXPIRED)
+            return AdmissionResult(AdmissionDecision.REFUSE, ResultCode.ID_EXPIRED)
         if self._is_full():
-            return Ruling(AdmissionDecision.REFUSE, ResultCode.LEDGER_FULL)
+            return AdmissionResult(AdmissionDecision.REFUSE, ResultCode.LEDGER_FULL)
         if submitted_ms <= self._new_after():
-            return Ruling(AdmissionDecision.ASK)
-        return Ruling(AdmissionDecision.ADMIT)
+            return AdmissionResult(AdmissionDecision.ASK)
+        return AdmissionResult(AdmissionDecision.ADMIT)
 
-    def _rule_known(self, entry: _Entry, digest: bytes) -> Ruling:
+    def _rule_known(self, entry: _Entry, digest: bytes) -> AdmissionResult:
         if entry.digest != digest:
-            return Ruling(AdmissionDecision.REFUSE, ResultCode.ID_REUSED)
+            return AdmissionResult(AdmissionDecision.REFUSE, ResultCode.ID_REUSED)
         if entry.running:
-            return Ruling(AdmissionDecision.JOIN)
+            return AdmissionResult(AdmissionDecision.JOIN)
         if entry.attempt:
-            return Ruling(AdmissionDecision.ADMIT, attempt=entry.attempt)
+            return AdmissionResult(AdmissionDecision.ADMIT, attempt=entry.attempt)
         if not entry.answer:
-            return Ruling(AdmissionDecision.REFUSE, ResultCode.ANSWER_FORGOTTEN)
-        return Ruling(AdmissionDecision.KEPT, entry.code, entry.answer)
+            return AdmissionResult(AdmissionDecision.REFUSE, ResultCode.ANSWER_FORGOTTEN)
+        return AdmissionResult(AdmissionDecision.KEPT, entry.code, entry.answer)
 
-    def _rule_timeless(self, key: str) -> Ruling:
+    def _rule_timeless(self, key: str) -> AdmissionResult:
         if fingerprint(key) in self._seen:
-            return Ruling(AdmissionDecision.REFUSE, ResultCode.ID_EXPIRED)
+            return AdmissionResult(AdmissionDecision.REFUSE, ResultCode.ID_EXPIRED)
         if self.timeless_lost:
-            return Ruling(AdmissionDecision.REFUSE, ResultCode.ID_WITHOUT_TIME)
+            return AdmissionResult(AdmissionDecision.REFUSE, ResultCode.ID_WITHOUT_TIME)
         if self._is_full():
-            return Ruling(AdmissionDecision.REFUSE, ResultCode.LEDGER_FULL)
-        return Ruling(
+            return AdmissionResult(AdmissionDecision.REFUSE, ResultCode.LEDGER_FULL)
+        return AdmissionResult(
             AdmissionDecision.ASK if self.taken_over_ms != NO_TIME else AdmissionDecision.ADMIT
         )
 
@@ -151,7 +151,7 @@
             entry.code = ResultCode.TASK_NOT_RUN
             entry.attempt = attempt
 
-    def kept(self, key: str) -> Ruling | None:
+    def kept(self, key: str) -> AdmissionResult | None:
         """What is known of an id, without a submission; None for nothing."""
         entry = self._entries.get(key)
         return None if entry is None else self._rule_known(entry, entry.digest)
--- a/src/gentianmux/platform/endpoint.py
+++ b/src/gentianmux/platform/endpoint.py
@@ -19,7 +19,7 @@
     StartResult,
 )
 from ..leased.resources import Resources
-from ..typed_json import get_str, get_str_list, number, read_object, table, whole
+from ..typed_json import get_int, get_str, get_str_list, number, read_object, table
 from .http_client import HttpCaller, HttpReply
 
 START_S = 0.08
@@ -84,12 +84,12 @@
         service=get_str(content, "service"),
         # ``zone`` is what this project calls a failure domain.
         failure_domain=get_str(content, "zone"),
-        capacity=Resources(whole(room, "cpu"), whole(room, "mem_mb"), whole(room, "gpu", 0)),
+        capacity=Resources(get_int(room, "cpu"), get_int(room, "mem_mb"), get_int(room, "gpu", 0)),
         labels=get_str_list(content, "labels"),
         draining=state == "draining",
         drain_remaining_s=number(content, "drain_remaining_ms", 0) / 1000,
-        sequence=whole(content, "seq"),
-        born=whole(content, "born", UNTOLD),
+        sequence=get_int(content, "seq"),
+        born=get_int(content, "born", UNTOLD),
     )
 
 
@@ -101,7 +101,7 @@
     ValueError
         When there is a body that cannot be read.
     """
-    return whole(read_object(body), "born", UNTOLD) if body else UNTOLD
+    return get_int(read_object(body), "born", UNTOLD) if body else UNTOLD
 
 
 class PlatformEndpoint:
@@ -268,7 +268,7 @@
 def _born_of(content: dict[str, Any]) -> int:
     """When the life that lists its runs began, in Unix milliseconds."""
     try:
-        return whole(content, "born", UNTOLD)
+        return get_int(content, "born", UNTOLD)
     except ValueError as exc:
         raise NoAnswer(f"a look that cannot be read: {exc}") from exc
 
--- a/src/gentianmux/trace_collector.py
+++ b/src/gentianmux/trace_collector.py
@@ -7,7 +7,7 @@
 from .fleet_state import Shard
 from .ids import NO_TIME
 from .job import Waiter
-from .ledger import AdmissionDecision, Ruling
+from .ledger import AdmissionDecision, AdmissionResult
 from .messages import Submit, Trace, TraceQuery, TraceReply
 from .node_context import NodeContext
 from .start_records import may_have_forgotten
@@ -56,7 +56,7 @@
             return
         if len(self._waiting) >= MAX_PARKED:
             self._ctx.coordinator.apply_ruling(
-                Ruling(AdmissionDecision.REFUSE, ResultCode.TRACES_PENDING), msg, waiter
+                AdmissionResult(AdmissionDecision.REFUSE, ResultCode.TRACES_PENDING), msg, waiter
             )
             return
         line = [_Parked(msg, waiter)]
@@ -117,12 +117,14 @@
         if refusal is None and not traces and not whole:
             refusal = ResultCode.OUTCOME_UNKNOWN
         if refusal is not None:
-            ruling = Ruling(AdmissionDecision.REFUSE, refusal)
+            ruling = AdmissionResult(AdmissionDecision.REFUSE, refusal)
             ctx.coordinator.apply_ruling(ruling, parked.msg, parked.waiter)
         elif traces:
             ctx.coordinator.resume(parked.msg, parked.waiter, traces, whole)
         else:
-            ctx.coordinator.apply_ruling(Ruling(AdmissionDecision.ADMIT), parked.msg, parked.waiter)
+            ctx.coordinator.apply_ruling(
+                AdmissionResult(AdmissionDecision.ADMIT), parked.msg, parked.waiter
+            )
 
     def _is_whole(self, question: _Question, row: Shard, msg: Submit) -> bool:
         """Whether no trace means that nothing started: all could answer, and none forgot."""
--- a/src/gentianmux/typed_json.py
+++ b/src/gentianmux/typed_json.py
@@ -55,7 +55,7 @@
     return tuple(value)
 
 
-def whole(content: Mapping[str, Any], name: str, default: Any = _MISSING) -> int:
+def get_int(content: Mapping[str, Any], name: str, default: Any = _MISSING) -> int:
     """A whole number of zero or more; raises ``ValueError`` for anything else."""
     value = content.get(name, default)
     if type(value) is not int or not 0 <= value <= LARGEST:
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -63,12 +63,12 @@
     side = EntryLeases()
     for number in range(1, 11):
         side.record_sent(number, number / 10)
-    side.echoed("e", 3)
+    side.record_echo("e", 3)
     assert side.holds("e", 0.3 + ENTRY_LEASE_S - 0.01)
     assert not side.holds("e", 0.3 + ENTRY_LEASE_S + 0.01)
-    side.echoed("e", 2)
+    side.record_echo("e", 2)
     assert side.holds("e", 0.3 + ENTRY_LEASE_S - 0.01)
-    side.echoed("e", 99)
+    side.record_echo("e", 99)
     assert not side.holds("e", 2.0)
 
 
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -248,8 +248,8 @@
 
 
 def _entry_lives(world: World, job: object) -> bool:
-    tickets = [node.entry.jobs.values() for node in world.entries.values() if node.entry]
-    return any(job.handle in each for each in tickets)  # type: ignore[attr-defined]
+    handles = [node.entry.jobs.values() for node in world.entries.values() if node.entry]
+    return any(job.handle in each for each in handles)  # type: ignore[attr-defined]
 
 
 def _disturb(world: World, rng: Random) -> None:
@@ -304,8 +304,8 @@
 
 
 def _open_jobs(world: World, entry: str) -> list[Asked]:
-    tickets = list(world.entries[entry].entry.jobs.values())  # type: ignore[union-attr]
-    return [job for job in world.asked if job.handle in tickets]
+    handles = list(world.entries[entry].entry.jobs.values())  # type: ignore[union-attr]
+    return [job for job in world.asked if job.handle in handles]
 
 
 def _break_callers(world: World, rng: Random, entry: str, machine: str) -> None:
