--- a/bench/leased_links.py
+++ b/bench/leased_links.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING, Any
 
 from gentianmux.clock import Clock
-from gentianmux.leased.links import NOTHING_HEARD_S, RENEW_AGAIN_S, SILENT_S
+from gentianmux.leased.links import RENEW_AGAIN_S, REOPEN_AFTER_S, SILENT_S
 from gentianmux.messages import Hello, Message
 
 if TYPE_CHECKING:
@@ -74,7 +74,7 @@
     def renew(self, process: str) -> None:
         """Replace a connection, at most once in ``RENEW_AGAIN_S``."""
         now = self._world.time
-        if now - self.heard.get(process, now) < NOTHING_HEARD_S:
+        if now - self.heard.get(process, now) < REOPEN_AFTER_S:
             return
         if now - self.renewed.get(process, -RENEW_AGAIN_S) >= RENEW_AGAIN_S:
             self.renewed[process] = now
--- a/bench/leased_world.py
+++ b/bench/leased_world.py
@@ -19,7 +19,7 @@
 from gentianmux.leased.agent import UPKEEP_S, Agent
 from gentianmux.leased.config_feed import ConfigFeed, ConfigSource
 from gentianmux.leased.entry import LOSS_CHECK_S, STEP_S, Entry
-from gentianmux.leased.entry_leases import REPORT_S
+from gentianmux.leased.entry_leases import REPORT_INTERVAL_S
 from gentianmux.leased.fleet_view import FleetView
 from gentianmux.leased.model import (
     EndpointReport,
@@ -209,7 +209,7 @@
         agent = Agent(cfg, driver, links, self._feed(clock), metrics, clock)  # type: ignore[arg-type]
         machine.agent, machine.links = agent, links
         self.alive.add(me.process)
-        self.every(REPORT_S, me.process, agent.send_due)
+        self.every(REPORT_INTERVAL_S, me.process, agent.send_due)
         self.every(UPKEEP_S, me.process, agent.check_chains)
         self.every(0.01, me.process, lambda: self._look(agent, driver))
 
--- a/src/gentianmux/coordinator.py
+++ b/src/gentianmux/coordinator.py
@@ -66,13 +66,13 @@
 
     def apply_ruling(self, ruling: AdmissionResult, msg: Submit, waiter: Waiter) -> None:
         """Carry out what the ledger said."""
-        if ruling.verdict is AdmissionDecision.ADMIT:
+        if ruling.decision is AdmissionDecision.ADMIT:
             self._admit(msg, waiter, ruling.attempt)
-        elif ruling.verdict is AdmissionDecision.JOIN:
+        elif ruling.decision is AdmissionDecision.JOIN:
             self._join(msg.key, msg.wait, waiter)
-        elif ruling.verdict is AdmissionDecision.KEPT:
+        elif ruling.decision is AdmissionDecision.KEPT:
             self._answer(msg.key, ruling.code, ruling.answer, [waiter])
-        elif ruling.verdict is AdmissionDecision.ASK:
+        elif ruling.decision is AdmissionDecision.ASK:
             self._ctx.shard_manager.ask_traces(msg, waiter)
         else:
             self._refuse(msg.key, ruling.code, waiter)
@@ -145,9 +145,9 @@
         ruling = self._ctx.shard_manager.owned[shard].ledger.kept(msg.key)
         if ruling is None:
             self._refuse(msg.key, ResultCode.JOB_UNKNOWN, waiter)
-        elif ruling.verdict is AdmissionDecision.JOIN:
+        elif ruling.decision is AdmissionDecision.JOIN:
             self._join(msg.key, msg.wait, waiter)
-        elif ruling.verdict is AdmissionDecision.KEPT:
+        elif ruling.decision is AdmissionDecision.KEPT:
             self._answer(msg.key, ruling.code, ruling.answer, [waiter])
         else:
             code = ruling.code if ruling.code is not ResultCode.OK else ResultCode.TASK_NOT_RUN
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -27,7 +27,7 @@
 from .config_transfer import ConfigTransfer
 from .endpoint_poller import EndpointPoller, LookHooks
 from .endpoint_tracker import EndpointTracker, TrackerHooks
-from .entry_leases import REPORT_S
+from .entry_leases import REPORT_INTERVAL_S
 from .entry_reports import EntryReports, Load
 from .evacuation_broadcast import EvacuationBroadcast
 from .evacuations import Evacuations
@@ -47,7 +47,7 @@
 from .run_watch import RunWatch
 from .settings import LeasedSettings
 
-UPKEEP_S = REPORT_S / 2
+UPKEEP_S = REPORT_INTERVAL_S / 2
 """Seconds between checks of the entries' leases and of reports that are due, while something runs.
 One loop of 16 turns a second took the place of three of 38: a turn that does nothing costs some
 80 us of processor."""
@@ -200,7 +200,9 @@
         """Check the chains and report, and wait for the next turn: at rest no run depends on it."""
         self.check_chains()
         self.send_due()
-        gevent.sleep(UPKEEP_S if self._ctx.table.runs or self._ctx.table.foreign else REPORT_S)
+        gevent.sleep(
+            UPKEEP_S if self._ctx.table.runs or self._ctx.table.foreign else REPORT_INTERVAL_S
+        )
 
     def look(self) -> bool:
         """Look at the endpoint once, renewing its lease; false when it did not answer."""
--- a/src/gentianmux/leased/directory.py
+++ b/src/gentianmux/leased/directory.py
@@ -12,7 +12,7 @@
 from ..errors import LogError
 from ..metrics import Metrics
 from ..platform_log import KeyedLog
-from ..typed_json import flag, get_int, get_str, get_str_list, number, read_object, table
+from ..typed_json import flag, get_int, get_number, get_str, get_str_list, read_object, table
 from .config_feed import AGAIN_S, WATCH_S
 from .model import EndpointReport
 from .resources import Resources
@@ -80,7 +80,7 @@
         capacity=Resources(*(get_int(amounts, name) for name in Resources._fields)),
         labels=get_str_list(report, "labels"),
         draining=flag(report, "draining"),
-        drain_remaining_s=number(report, "drain_remaining_s"),
+        drain_remaining_s=get_number(report, "drain_remaining_s"),
         sequence=get_int(report, "sequence"),
         born=get_int(report, "born", 0),
     )
--- a/src/gentianmux/leased/entry_leases.py
+++ b/src/gentianmux/leased/entry_leases.py
@@ -12,7 +12,7 @@
 ENTRY_LEASE_S = 0.4
 """Seconds; three load reports. Shorter leases drop runs when a slowed process reports late."""
 
-REPORT_S = 0.125
+REPORT_INTERVAL_S = 0.125
 """Seconds between load reports to an entry whose runs are at work here. Each is echoed as it comes,
 so a report or echo that is sent again after 0.2 s by the connection breaks no chain."""
 
@@ -24,7 +24,7 @@
 
 ECHO_GAP_S = 0.06
 """Least seconds between two echoes to an agent, which also reports each change of its room: fewer
-than three unanswered ones, and a chain never ages by more than this and ``REPORT_S``."""
+than three unanswered ones, and a chain never ages by more than this and ``REPORT_INTERVAL_S``."""
 
 QUIET_S = 0.25
 """Seconds since the newest report that was echoed was sent, after which the connection is doubted:
--- a/src/gentianmux/leased/entry_reports.py
+++ b/src/gentianmux/leased/entry_reports.py
@@ -5,7 +5,7 @@
 
 from ..clock import Clock
 from ..messages import AgentLoad, Claim, EndedRun, EndedRuns
-from .entry_leases import IDLE_REPORT_S, REPORT_S, EntryLeases
+from .entry_leases import IDLE_REPORT_S, REPORT_INTERVAL_S, EntryLeases
 from .grants import GRANT_S, Grants
 from .links import Links
 from .model import RunOutcome
@@ -160,7 +160,7 @@
         return self._reported_at.get(entry, 0.0) + self._pace_s(entry)
 
     def _pace_s(self, entry: str) -> float:
-        return REPORT_S if self._serves(entry) else IDLE_REPORT_S
+        return REPORT_INTERVAL_S if self._serves(entry) else IDLE_REPORT_S
 
     def _report(self, entries: list[str]) -> None:
         self._number += 1
@@ -206,7 +206,7 @@
 
     def _was_idle(self, entry: str) -> bool:
         """Whether the last report to an entry is older than those to one with runs here."""
-        return self._clock.now() - self._reported_at.get(entry, 0.0) > REPORT_S
+        return self._clock.now() - self._reported_at.get(entry, 0.0) > REPORT_INTERVAL_S
 
     def claimed(self, entry: str, claims: list[Claim], gives_back: bool) -> None:
         """Take in what waits for room at an entry, and whether it gives back its grant."""
--- a/src/gentianmux/leased/send_window.py
+++ b/src/gentianmux/leased/send_window.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from .entry_leases import REPORT_S
+from .entry_leases import REPORT_INTERVAL_S
 
 MANY = 4
 """Agents of which one is about to report at any moment: a report comes every 0.125 s."""
@@ -134,7 +134,7 @@
     @property
     def _slow_s(self) -> float:
         """What is slow: of many agents one reports at once, of a few each may be about to."""
-        return SLOW_S if len(self._told_by) >= MANY else SLOW_S + REPORT_S
+        return SLOW_S if len(self._told_by) >= MANY else SLOW_S + REPORT_INTERVAL_S
 
     def _ages(self, now: float) -> Iterator[float]:
         """Ages of the oldest assignments that agents have not told of."""
--- a/src/gentianmux/ledger.py
+++ b/src/gentianmux/ledger.py
@@ -25,7 +25,7 @@
 class AdmissionResult(NamedTuple):
     """A verdict, with the code of a refusal or of a kept answer."""
 
-    verdict: AdmissionDecision
+    decision: AdmissionDecision
     code: ResultCode = ResultCode.OK
     answer: bytes = b""
     attempt: int = 0
@@ -65,10 +65,10 @@
     Examples
     --------
     >>> ledger = Ledger(LedgerBounds(60_000, 1_000, 100_000))
-    >>> ledger.rule("m/a", b"digest", 5_000, 5_000).verdict
+    >>> ledger.rule("m/a", b"digest", 5_000, 5_000).decision
     <Verdict.ADMIT: 'admit'>
     >>> ledger.admit("m/a", b"digest", 5_000)
-    >>> ledger.rule("m/a", b"digest", 5_000, 5_001).verdict
+    >>> ledger.rule("m/a", b"digest", 5_000, 5_001).decision
     <Verdict.JOIN: 'join'>
     """
 
--- a/src/gentianmux/platform/endpoint.py
+++ b/src/gentianmux/platform/endpoint.py
@@ -19,7 +19,7 @@
     StartResult,
 )
 from ..leased.resources import Resources
-from ..typed_json import get_int, get_str, get_str_list, number, read_object, table
+from ..typed_json import get_int, get_number, get_str, get_str_list, read_object, table
 from .http_client import HttpCaller, HttpReply
 
 START_S = 0.08
@@ -87,7 +87,7 @@
         capacity=Resources(get_int(room, "cpu"), get_int(room, "mem_mb"), get_int(room, "gpu", 0)),
         labels=get_str_list(content, "labels"),
         draining=state == "draining",
-        drain_remaining_s=number(content, "drain_remaining_ms", 0) / 1000,
+        drain_remaining_s=get_number(content, "drain_remaining_ms", 0) / 1000,
         sequence=get_int(content, "seq"),
         born=get_int(content, "born", UNTOLD),
     )
--- a/src/gentianmux/typed_json.py
+++ b/src/gentianmux/typed_json.py
@@ -63,7 +63,7 @@
     return value
 
 
-def number(content: Mapping[str, Any], name: str, default: Any = _MISSING) -> float:
+def get_number(content: Mapping[str, Any], name: str, default: Any = _MISSING) -> float:
     """A finite number of zero or more; raises ``ValueError`` for anything else."""
     value = content.get(name, default)
     if type(value) not in (int, float) or not 0 <= value <= LARGEST:
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -9,12 +9,12 @@
 
 def test_an_id_is_admitted_once_then_joined_then_answered() -> None:
     ledger = Ledger(BOUNDS)
-    assert ledger.rule("m/a", b"d", 100_000, 100_000).verdict is AdmissionDecision.ADMIT
+    assert ledger.rule("m/a", b"d", 100_000, 100_000).decision is AdmissionDecision.ADMIT
     ledger.admit("m/a", b"d", 100_000)
-    assert ledger.rule("m/a", b"d", 100_000, 100_001).verdict is AdmissionDecision.JOIN
+    assert ledger.rule("m/a", b"d", 100_000, 100_001).decision is AdmissionDecision.JOIN
     ledger.finish("m/a", ResultCode.OK, b"answer")
     ruling = ledger.rule("m/a", b"d", 100_000, 100_002)
-    assert (ruling.verdict, ruling.answer) == (AdmissionDecision.KEPT, b"answer")
+    assert (ruling.decision, ruling.answer) == (AdmissionDecision.KEPT, b"answer")
 
 
 def test_an_id_with_another_body_is_refused() -> None:
@@ -49,21 +49,21 @@
     ledger = Ledger(BOUNDS)
     for number in range(400):
         key = f"m/{number}"
-        if ledger.rule(key, b"d", NO_TIME, 100_000).verdict is AdmissionDecision.ADMIT:
+        if ledger.rule(key, b"d", NO_TIME, 100_000).decision is AdmissionDecision.ADMIT:
             ledger.admit(key, b"d", NO_TIME)
             ledger.finish(key, ResultCode.OK, b"x" * 2000)
         ledger.trim(100_000)
-    again = {ledger.rule(f"m/{number}", b"d", NO_TIME, 100_000).verdict for number in range(400)}
+    again = {ledger.rule(f"m/{number}", b"d", NO_TIME, 100_000).decision for number in range(400)}
     assert AdmissionDecision.ADMIT not in again
     assert ledger.timeless_lost
 
 
 def test_after_a_take_over_only_younger_ids_are_surely_new() -> None:
     ledger = Ledger(BOUNDS, taken_over_ms=100_000)
-    assert ledger.rule("m/a", b"d", 99_000, 100_001).verdict is AdmissionDecision.ASK
-    assert ledger.rule("m/b", b"d", 101_999, 100_001).verdict is AdmissionDecision.ASK
-    assert ledger.rule("m/c", b"d", 102_001, 102_002).verdict is AdmissionDecision.ADMIT
-    assert ledger.rule("m/d", b"d", NO_TIME, 200_000).verdict is AdmissionDecision.ASK
+    assert ledger.rule("m/a", b"d", 99_000, 100_001).decision is AdmissionDecision.ASK
+    assert ledger.rule("m/b", b"d", 101_999, 100_001).decision is AdmissionDecision.ASK
+    assert ledger.rule("m/c", b"d", 102_001, 102_002).decision is AdmissionDecision.ADMIT
+    assert ledger.rule("m/d", b"d", NO_TIME, 200_000).decision is AdmissionDecision.ASK
 
 
 def test_a_job_proved_not_to_have_run_is_admitted_again_from_the_next_attempt() -> None:
@@ -71,7 +71,7 @@
     ledger.admit("m/a", b"d", 100_000)
     ledger.reopen("m/a", attempt=3)
     ruling = ledger.rule("m/a", b"d", 100_000, 100_001)
-    assert (ruling.verdict, ruling.attempt) == (AdmissionDecision.ADMIT, 3)
+    assert (ruling.decision, ruling.attempt) == (AdmissionDecision.ADMIT, 3)
     assert ledger.rule("m/a", b"x", 100_000, 100_001).code is ResultCode.ID_REUSED
 
 
