--- a/src/gentianmux/coordinator.py
+++ b/src/gentianmux/coordinator.py
@@ -61,7 +61,7 @@
             self._refuse(msg.key, refusal, waiter)
             return
         ledger = ctx.shard_manager.owned[shard].ledger
-        ruling = ledger.rule(msg.key, msg.digest, msg.submitted_ms, ctx.now_ms())
+        ruling = ledger.check(msg.key, msg.digest, msg.submitted_ms, ctx.now_ms())
         self.apply_ruling(ruling, msg, waiter)
 
     def apply_ruling(self, ruling: AdmissionResult, msg: Submit, waiter: Waiter) -> None:
--- a/src/gentianmux/leased/caller_watch.py
+++ b/src/gentianmux/leased/caller_watch.py
@@ -8,7 +8,7 @@
 
 from .entry import Entry
 from .job_state import JobOutcome
-from .ticket import JobHandle, Verdict
+from .ticket import JobHandle, JobResult
 
 LAST_WORD_S = 0.5
 """Seconds beyond its deadline in which a job's verdict must have come; the entry checks deadlines
@@ -18,7 +18,7 @@
 """What the event loop is asked to watch for: bytes, or the end of the connection."""
 
 
-def wait_for_result(entry: Entry, handle: JobHandle, sock: Any) -> Verdict:
+def wait_for_result(entry: Entry, handle: JobHandle, sock: Any) -> JobResult:
     """Wait for a job's verdict; the job is stopped when its last caller leaves.
 
     Parameters
@@ -42,7 +42,7 @@
     if handle.verdict is None:
         logger.bind(job=handle.job.spec.job_id).error("no verdict in time")
         entry.abandon(handle, "no verdict in time")
-    return handle.verdict or Verdict(JobOutcome.UNKNOWN, "no verdict in time")
+    return handle.verdict or JobResult(JobOutcome.UNKNOWN, "no verdict in time")
 
 
 class CallerWatch:
--- a/src/gentianmux/leased/directory.py
+++ b/src/gentianmux/leased/directory.py
@@ -12,7 +12,7 @@
 from ..errors import LogError
 from ..metrics import Metrics
 from ..platform_log import KeyedLog
-from ..typed_json import flag, get_int, get_number, get_str, get_str_list, read_object, table
+from ..typed_json import get_bool, get_int, get_number, get_str, get_str_list, read_object, table
 from .config_feed import AGAIN_S, WATCH_S
 from .model import EndpointReport
 from .resources import Resources
@@ -79,7 +79,7 @@
         failure_domain=get_str(report, "failure_domain"),
         capacity=Resources(*(get_int(amounts, name) for name in Resources._fields)),
         labels=get_str_list(report, "labels"),
-        draining=flag(report, "draining"),
+        draining=get_bool(report, "draining"),
         drain_remaining_s=get_number(report, "drain_remaining_s"),
         sequence=get_int(report, "sequence"),
         born=get_int(report, "born", 0),
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -22,7 +22,7 @@
 from .config_feed import ConfigFeed
 from .config_transfer import ConfigTransfer
 from .entry_context import EntryContext
-from .entry_leases import ECHO_GAP_S
+from .entry_leases import MIN_ECHO_INTERVAL_S
 from .evacuation_broadcast import EvacuationBroadcast
 from .evacuations import Evacuations
 from .fleet_view import FleetView
@@ -33,7 +33,7 @@
 from .resources import NO_RESOURCES
 from .run_ends import RunEnds
 from .shutdown import ends_in_time
-from .ticket import JobHandle, Verdict
+from .ticket import JobHandle, JobResult
 
 STEP_S = 0.01
 """Seconds between checks of deadlines and refusals, a quarter of the time in which the shortest
@@ -139,12 +139,12 @@
         """Cancel a job; false when none of this id is at work here."""
         handle = self._ctx.jobs.get(job_id)
         if handle is not None:
-            self._ctx.finish(handle.job, Verdict(JobOutcome.CANCELLED, "cancelled by its caller"))
+            self._ctx.finish(handle.job, JobResult(JobOutcome.CANCELLED, "cancelled by its caller"))
         return handle is not None
 
     def abandon(self, handle: JobHandle, reason: str) -> None:
         """Stop a job that nobody waits for any more."""
-        self._ctx.finish(handle.job, Verdict(JobOutcome.UNKNOWN, reason))
+        self._ctx.finish(handle.job, JobResult(JobOutcome.UNKNOWN, reason))
 
     # Messages of agents
 
@@ -164,7 +164,7 @@
             self._placer.call_soon()
         # Room that is granted to what no longer waits is for another entry.
         gives_back = not self._ctx.backlog and bool(view.told)
-        if gives_back or self._ctx.clock.now() - view.echoed_at >= ECHO_GAP_S:
+        if gives_back or self._ctx.clock.now() - view.echoed_at >= MIN_ECHO_INTERVAL_S:
             self._ctx.echo(view)
 
     @on_message.register
--- a/src/gentianmux/leased/entry_context.py
+++ b/src/gentianmux/leased/entry_context.py
@@ -14,7 +14,7 @@
 from .job_state import JobOutcome, JobState
 from .links import Links
 from .send_window import SendWindow
-from .ticket import JobHandle, Verdict
+from .ticket import JobHandle, JobResult
 
 CLAIMS_S = 0.01
 """Seconds for which worked-out claims hold while nothing else waits than before: how soon the most
@@ -76,7 +76,7 @@
         self._claims_until = 0.0
         self._claims_of = 0
 
-    def finish(self, job: JobState, verdict: Verdict) -> None:
+    def finish(self, job: JobState, verdict: JobResult) -> None:
         """End a job: take its runs back, and hand its verdict to those who wait."""
         handle = self.jobs.pop(job.spec.job_id, None)
         if handle is None:
@@ -112,9 +112,9 @@
     def give_up(self, job: JobState, reason: str, again_s: int = RETRY_AFTER_S) -> None:
         """End a job that is not served: as not run where that is proved, else as unknown."""
         if job.proved_not_run:
-            self.finish(job, Verdict(JobOutcome.NOT_RUN, reason, again_s))
+            self.finish(job, JobResult(JobOutcome.NOT_RUN, reason, again_s))
         else:
-            self.finish(job, Verdict(JobOutcome.UNKNOWN, reason))
+            self.finish(job, JobResult(JobOutcome.UNKNOWN, reason))
 
     def claims(self, service: str) -> list[Claim]:
         """What waits for room of a service here, by urgency; worked out anew when it changes."""
--- a/src/gentianmux/leased/entry_leases.py
+++ b/src/gentianmux/leased/entry_leases.py
@@ -22,7 +22,7 @@
 looks, an agent at rest took 0.044 of a core, with these and six looks 0.023 (medians of four agents
 and five entries on loopback, 8 s)."""
 
-ECHO_GAP_S = 0.06
+MIN_ECHO_INTERVAL_S = 0.06
 """Least seconds between two echoes to an agent, which also reports each change of its room: fewer
 than three unanswered ones, and a chain never ages by more than this and ``REPORT_INTERVAL_S``."""
 
--- a/src/gentianmux/leased/run_ends.py
+++ b/src/gentianmux/leased/run_ends.py
@@ -6,7 +6,7 @@
 from .entry_context import EntryContext
 from .job_state import JobOutcome
 from .model import RunOutcome, instance_of
-from .ticket import Verdict
+from .ticket import JobResult
 
 REFUSED_PAUSE_S = 0.05
 """Seconds for which an agent that refused for other reasons than room gets nothing new."""
@@ -61,9 +61,9 @@
         if how not in (RunOutcome.DONE, RunOutcome.NO_ROOM):
             logger.bind(task=name, run=run, peer=agent, how=how.name.lower()).info("run came back")
         if job.failed:
-            self._ctx.finish(job, Verdict(JobOutcome.FAILED, f"{name} failed too often"))
+            self._ctx.finish(job, JobResult(JobOutcome.FAILED, f"{name} failed too often"))
         elif job.is_done:
-            self._ctx.finish(job, Verdict(JobOutcome.COMPLETED, "every task is done"))
+            self._ctx.finish(job, JobResult(JobOutcome.COMPLETED, "every task is done"))
         elif job.ready() and job.spec.job_id in self._ctx.jobs:
             self._ctx.backlog.put(job)
 
--- a/src/gentianmux/leased/ticket.py
+++ b/src/gentianmux/leased/ticket.py
@@ -7,7 +7,7 @@
 from .job_state import JobOutcome, JobState
 
 
-class Verdict(NamedTuple):
+class JobResult(NamedTuple):
     """What is answered for a job."""
 
     outcome: JobOutcome
@@ -26,5 +26,5 @@
     def __init__(self, job: JobState) -> None:
         self.job = job
         self.done = Event()
-        self.verdict: Verdict | None = None
+        self.verdict: JobResult | None = None
         self.waiters = 0
--- a/src/gentianmux/ledger.py
+++ b/src/gentianmux/ledger.py
@@ -65,10 +65,10 @@
     Examples
     --------
     >>> ledger = Ledger(LedgerBounds(60_000, 1_000, 100_000))
-    >>> ledger.rule("m/a", b"digest", 5_000, 5_000).decision
+    >>> ledger.check("m/a", b"digest", 5_000, 5_000).decision
     <Verdict.ADMIT: 'admit'>
     >>> ledger.admit("m/a", b"digest", 5_000)
-    >>> ledger.rule("m/a", b"digest", 5_000, 5_001).decision
+    >>> ledger.check("m/a", b"digest", 5_000, 5_001).decision
     <Verdict.JOIN: 'join'>
     """
 
@@ -81,7 +81,7 @@
         self._entries: dict[str, _Entry] = {}
         self._seen: set[int] = set()
 
-    def rule(self, key: str, digest: bytes, submitted_ms: int, now_ms: int) -> AdmissionResult:
+    def check(self, key: str, digest: bytes, submitted_ms: int, now_ms: int) -> AdmissionResult:
         """Say what to do with a submission; changes nothing."""
         entry = self._entries.get(key)
         if entry is not None:
--- a/src/gentianmux/typed_json.py
+++ b/src/gentianmux/typed_json.py
@@ -71,7 +71,7 @@
     return float(value)
 
 
-def flag(content: Mapping[str, Any], name: str) -> bool:
+def get_bool(content: Mapping[str, Any], name: str) -> bool:
     """True or false; raises ``ValueError`` for anything else."""
     value = content.get(name)
     if not isinstance(value, bool):
--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -19,7 +19,7 @@
 from gentianmux.leased.job_state import JobOutcome, JobState
 from gentianmux.leased.model import JobSpec, QueueConfig, StepSpec
 from gentianmux.leased.resources import Resources
-from gentianmux.leased.ticket import JobHandle, Verdict
+from gentianmux.leased.ticket import JobHandle, JobResult
 from gentianmux.settings import Settings
 
 QUEUE = QueueConfig("q", "h", "/q/", "s", 5000, 60, 0, 3, 1.6)
@@ -39,7 +39,7 @@
 
     def abandon(self, handle: JobHandle, reason: str) -> None:
         self.abandoned.append(reason)
-        handle.verdict = Verdict(JobOutcome.UNKNOWN, reason)
+        handle.verdict = JobResult(JobOutcome.UNKNOWN, reason)
         handle.done.set()
 
     def handle(self) -> JobHandle:
@@ -47,7 +47,7 @@
         return JobHandle(JobState(spec, QUEUE, 0.0, 9.0))
 
     def refuse(self, handle: JobHandle) -> None:
-        handle.verdict = Verdict(JobOutcome.NOT_RUN, "no room")
+        handle.verdict = JobResult(JobOutcome.NOT_RUN, "no room")
         if self._later:
             gevent.spawn(handle.done.set)
         else:
