--- a/src/gentianmux/coordinator.py
+++ b/src/gentianmux/coordinator.py
@@ -142,7 +142,7 @@
         if refusal is not None:
             self._refuse(msg.key, refusal, waiter)
             return
-        ruling = self._ctx.shard_manager.owned[shard].ledger.kept(msg.key)
+        ruling = self._ctx.shard_manager.owned[shard].ledger.lookup(msg.key)
         if ruling is None:
             self._refuse(msg.key, ResultCode.JOB_UNKNOWN, waiter)
         elif ruling.decision is AdmissionDecision.JOIN:
--- a/src/gentianmux/leased/directory.py
+++ b/src/gentianmux/leased/directory.py
@@ -12,7 +12,15 @@
 from ..errors import LogError
 from ..metrics import Metrics
 from ..platform_log import KeyedLog
-from ..typed_json import get_bool, get_int, get_number, get_str, get_str_list, read_object, table
+from ..typed_json import (
+    get_bool,
+    get_int,
+    get_number,
+    get_object,
+    get_str,
+    get_str_list,
+    read_object,
+)
 from .config_feed import AGAIN_S, WATCH_S
 from .model import EndpointReport
 from .resources import Resources
@@ -49,7 +57,7 @@
             raise ValueError(f"role {role[:40]!r} is not known")
         _check_address(address)
         has_report = content.get("report") is not None
-        report = _decode_report(table(content, "report")) if has_report else None
+        report = _decode_report(get_object(content, "report")) if has_report else None
         return Announcement(name, role, address, report)
     except ValueError as exc:
         logger.bind(peer=name[:100], reason=str(exc)).warning("announcement unreadable")
--- a/src/gentianmux/leased/entry_leases.py
+++ b/src/gentianmux/leased/entry_leases.py
@@ -33,7 +33,7 @@
 IDLE_QUIET_S = 0.65
 """The same for an entry without runs here, which loses nothing: two reports without an echo."""
 
-CLOCK_DRIFT = 1.02
+CLOCK_DRIFT_RATIO = 1.02
 """Factor; an endpoint's clock may run 2 % slow."""
 
 STOP_MARGIN_S = 0.15
@@ -100,4 +100,4 @@
     lease_s : float
         The longest lease that agents ask of endpoints, in seconds.
     """
-    return last_echo_at + ENTRY_LEASE_S + lease_s * CLOCK_DRIFT + STOP_MARGIN_S
+    return last_echo_at + ENTRY_LEASE_S + lease_s * CLOCK_DRIFT_RATIO + STOP_MARGIN_S
--- a/src/gentianmux/ledger.py
+++ b/src/gentianmux/ledger.py
@@ -151,7 +151,7 @@
             entry.code = ResultCode.TASK_NOT_RUN
             entry.attempt = attempt
 
-    def kept(self, key: str) -> AdmissionResult | None:
+    def lookup(self, key: str) -> AdmissionResult | None:
         """What is known of an id, without a submission; None for nothing."""
         entry = self._entries.get(key)
         return None if entry is None else self._rule_known(entry, entry.digest)
--- a/src/gentianmux/platform/endpoint.py
+++ b/src/gentianmux/platform/endpoint.py
@@ -6,7 +6,7 @@
 
 from loguru import logger
 
-from ..leased.entry_leases import CLOCK_DRIFT
+from ..leased.entry_leases import CLOCK_DRIFT_RATIO
 from ..leased.model import (
     ActiveRun,
     EndpointGone,
@@ -19,7 +19,7 @@
     StartResult,
 )
 from ..leased.resources import Resources
-from ..typed_json import get_int, get_number, get_str, get_str_list, read_object, table
+from ..typed_json import get_int, get_number, get_object, get_str, get_str_list, read_object
 from .http_client import HttpCaller, HttpReply
 
 START_S = 0.08
@@ -65,7 +65,7 @@
 }
 
 
-def read_report(endpoint: str, content: dict[str, Any], address: str) -> EndpointReport:
+def decode_heartbeat(endpoint: str, content: dict[str, Any], address: str) -> EndpointReport:
     """Decode a heartbeat.
 
     Raises
@@ -74,7 +74,7 @@
         When a field is missing or of another type, or the state is not known: its writer speaks
         something else, and what it means by the rest cannot be relied on.
     """
-    room = table(content, "capacity")
+    room = get_object(content, "capacity")
     state = get_str(content, "state")
     if state not in _STATES:
         raise ValueError(f"state {state[:40]!r} is not known")
@@ -248,7 +248,9 @@
         self._fence = max(int(self._clock_ms), self._lowest_fence)
 
     def _until(self, lease_s: float, asked_at: float) -> int:
-        self._lease_end = max(self._lease_end, asked_at + lease_s * CLOCK_DRIFT + self._stop_s)
+        self._lease_end = max(
+            self._lease_end, asked_at + lease_s * CLOCK_DRIFT_RATIO + self._stop_s
+        )
         return int(self._clock_ms + (asked_at - self._clock_at) * 1000 + lease_s * 1000)
 
     def _call(
--- a/src/gentianmux/platform/heartbeats.py
+++ b/src/gentianmux/platform/heartbeats.py
@@ -9,7 +9,7 @@
 from ..leased.agent import Agent
 from ..settings import Settings
 from ..typed_json import read_object
-from .endpoint import read_farewell, read_report
+from .endpoint import decode_heartbeat, read_farewell
 
 _PATH = re.compile(r"/v1/instances/([^/]{1,100})/(heartbeat|deregister)\Z")
 
@@ -43,7 +43,7 @@
             if call == "deregister":
                 self._agent.on_left(endpoint, read_farewell(body))
                 return "200 OK"
-            report = read_report(endpoint, read_object(body), self._endpoint_address)
+            report = decode_heartbeat(endpoint, read_object(body), self._endpoint_address)
         except (GentianmuxError, ValueError) as exc:
             self._agent.on_unreadable(endpoint, str(exc))
             return "400 Bad Request"
--- a/src/gentianmux/typed_json.py
+++ b/src/gentianmux/typed_json.py
@@ -79,7 +79,7 @@
     return value
 
 
-def table(content: Mapping[str, Any], name: str) -> dict[str, Any]:
+def get_object(content: Mapping[str, Any], name: str) -> dict[str, Any]:
     """A nested object; raises ``ValueError`` for anything else."""
     value = content.get(name)
     if not isinstance(value, dict):
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -45,7 +45,7 @@
 from gentianmux.leased.resources import Resources
 from gentianmux.leased.run_table import RunTable
 from gentianmux.messages import Assign, LeasedTask
-from gentianmux.platform.endpoint import PlatformEndpoint, read_farewell, read_report
+from gentianmux.platform.endpoint import PlatformEndpoint, decode_heartbeat, read_farewell
 from gentianmux.platform.http_client import HttpReply
 from standins.platform_endpoint import PlatformEndpointApp
 
@@ -438,7 +438,7 @@
 
 
 def report_of(app: PlatformEndpointApp) -> EndpointReport:
-    return read_report(app.instance, {**REPORT, "born": app.born}, "10.0.0.1:80")
+    return decode_heartbeat(app.instance, {**REPORT, "born": app.born}, "10.0.0.1:80")
 
 
 @contextmanager
@@ -560,7 +560,7 @@
 @pytest.mark.parametrize("born", ["1", 1.5, None, True, -1, [1]])
 def test_a_heartbeat_with_a_foreign_start_is_none(born: object) -> None:
     with pytest.raises(ValueError):
-        read_report("i-1", {**REPORT, "born": born}, "10.0.0.1:80")
+        decode_heartbeat("i-1", {**REPORT, "born": born}, "10.0.0.1:80")
 
 
 # Entries and store
--- a/tests/test_foreign_records.py
+++ b/tests/test_foreign_records.py
@@ -18,7 +18,7 @@
 from gentianmux.leased.resources import Resources
 from gentianmux.metrics import Metrics
 from gentianmux.platform.config import CONFIG_SOURCE, decode_config
-from gentianmux.platform.endpoint import read_report
+from gentianmux.platform.endpoint import decode_heartbeat
 from gentianmux.platform_log import Changes, Newest
 from gentianmux.settings import Settings
 from gentianmux.typed_json import read_object
@@ -63,20 +63,20 @@
 )
 def test_a_heartbeat_with_a_foreign_field_is_none(field: str, value: object) -> None:
     with pytest.raises(ValueError):
-        read_report("i-1", {**HEARTBEAT, field: value}, "10.0.0.1:80")
+        decode_heartbeat("i-1", {**HEARTBEAT, field: value}, "10.0.0.1:80")
 
 
 @pytest.mark.parametrize("missing", ["service", "zone", "state", "capacity", "seq"])
 def test_a_heartbeat_without_a_field_is_none(missing: str) -> None:
     content = {name: value for name, value in HEARTBEAT.items() if name != missing}
     with pytest.raises(ValueError):
-        read_report("i-1", content, "10.0.0.1:80")
+        decode_heartbeat("i-1", content, "10.0.0.1:80")
 
 
 @given(st.sampled_from(sorted(HEARTBEAT)), anything)
 def test_any_heartbeat_is_read_whole_or_refused(field: str, value: object) -> None:
     try:
-        report = read_report("i-1", {**HEARTBEAT, field: value}, "10.0.0.1:80")
+        report = decode_heartbeat("i-1", {**HEARTBEAT, field: value}, "10.0.0.1:80")
     except ValueError:
         return
     assert all(type(amount) is int and amount >= 0 for amount in report.capacity)
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -17,7 +17,7 @@
 from gentianmux.leased.resources import Resources
 from gentianmux.platform.callers import read_job
 from gentianmux.platform.config import decode_config
-from gentianmux.platform.endpoint import PlatformEndpoint, _read_look, read_report
+from gentianmux.platform.endpoint import PlatformEndpoint, _read_look, decode_heartbeat
 from gentianmux.platform.settings import decode_settings, read_settings_file
 from gentianmux.platform.store import PlatformStore
 from standins.platform_endpoint import PlatformEndpointApp
@@ -60,7 +60,7 @@
 
 
 def report_of(endpoint: str = "i-1"):
-    return read_report(endpoint, REPORT, "10.0.0.1:80")
+    return decode_heartbeat(endpoint, REPORT, "10.0.0.1:80")
 
 
 # Settings and configuration
@@ -125,7 +125,9 @@
 
 
 def test_a_heartbeat_is_decoded() -> None:
-    report = read_report("i-1", {**REPORT, "state": "draining", "drain_remaining_ms": 1500}, "")
+    report = decode_heartbeat(
+        "i-1", {**REPORT, "state": "draining", "drain_remaining_ms": 1500}, ""
+    )
     assert report.draining
     assert report.drain_remaining_s == 1.5
     assert report.capacity == Resources(16000, 100, 0)
