--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -21,7 +21,7 @@
 from gentianmux.config_state import Change, ConfigState
 from gentianmux.fleet_records import Join, to_json
 from gentianmux.fleet_state import FleetState, Shard
-from gentianmux.frames import pack
+from gentianmux.frames import pack_frame
 from gentianmux.ledger import Ledger, LedgerBounds
 from gentianmux.membership import Membership, Timing
 from gentianmux.messages import (
@@ -191,7 +191,7 @@
         "job in start records (one task, 60 B)": bytes_each(records),
         "encode a task": micros(lambda: encode(batch), per=150),
         "decode a task": micros(lambda: decode(body), per=150),
-        "frame and digest, 150 tasks": micros(lambda: pack(body)),
+        "frame and digest, 150 tasks": micros(lambda: pack_frame(body)),
         "membership tick, 2000 known": micros(lambda: core.tick(perf_counter())),
         "renewal of 2 shards, coding": micros(lambda: decode(encode(lease))),
         **{f"candidates of a job of 20 among {n}, a task": decision(n) for n in AGENTS},
--- a/bench/leased_load.py
+++ b/bench/leased_load.py
@@ -167,7 +167,7 @@
         """End all processes and endpoints, start them again, and send again what was at work."""
         world = self._world
         for number, (job, asked) in list(self.tries.items()):
-            if asked.handle.verdict is None:
+            if asked.handle.result is None:
                 pause_s = max(power.resend_s, power.back_s)
                 world.at(pause_s, "", self._send, number, job, asked.at)
         for name in [*world.machines, *world.entries]:
@@ -225,8 +225,8 @@
     got: Counter[object] = Counter()
     ways: Counter[str] = Counter()
     for job, handed_in in asked:
-        verdict = handed_in.handle.verdict
-        done = verdict is not None and verdict.outcome is JobOutcome.COMPLETED
+        result = handed_in.handle.result
+        done = result is not None and result.outcome is JobOutcome.COMPLETED
         took_s = handed_in.ended_at - handed_in.at if done else None
         credit = earned(job, took_s)
         for key in ("all", int(job.at / WINDOW_S), job.kind.queue.name):
--- a/bench/leased_recover.py
+++ b/bench/leased_recover.py
@@ -100,9 +100,9 @@
 
 def _is_in_time(job: object) -> bool:
     asked = job.handle.job  # type: ignore[attr-defined]
-    verdict = job.handle.verdict  # type: ignore[attr-defined]
+    result = job.handle.result  # type: ignore[attr-defined]
     took_s = job.ended_at - job.at  # type: ignore[attr-defined]
-    done = verdict is not None and verdict.outcome is JobOutcome.COMPLETED
+    done = result is not None and result.outcome is JobOutcome.COMPLETED
     return bool(done and took_s <= asked.objective_s)
 
 
--- a/bench/leased_world.py
+++ b/bench/leased_world.py
@@ -115,7 +115,7 @@
     >>> world.run(1.0)
     >>> job = world.submit("e0", tasks=4, run_s=0.1)
     >>> world.run(1.0)
-    >>> job.handle.verdict.outcome.value
+    >>> job.handle.result.outcome.value
     'completed'
     """
 
@@ -220,7 +220,7 @@
         assert agent is not None
         until = self.time + grace_s
         process = self.process_of(name)
-        agent.begin_leaving(until)
+        agent.begin_shutdown(until)
 
         def end_when_left() -> None:
             if process != self.process_of(name) or process not in self.alive:
@@ -481,7 +481,7 @@
         handle = node.entry.submit(spec, queue, time_limit_s)
         asked = Asked(spec, queue, self.time, run_s, handle)
         self.asked.append(asked)
-        if handle.verdict is not None:
+        if handle.result is not None:
             asked.ended_at = self.time
         else:
             handle.done = _EndNote(self, asked)
@@ -503,8 +503,8 @@
         """Jobs of which every submission was said not to have run, though a task has started."""
         answers: dict[str, set[str]] = defaultdict(set)
         for each in self.asked:
-            verdict = each.handle.verdict
-            answers[each.spec.job_id].add("none" if verdict is None else verdict.outcome.value)
+            result = each.handle.result
+            answers[each.spec.job_id].add("none" if result is None else result.outcome.value)
         refused = [job_id for job_id, given in answers.items() if given == {"not_run"}]
         started = {task.partition(".")[0] for task in self.started}
         return [job_id for job_id in refused if job_id in started]
--- a/bench/world.py
+++ b/bench/world.py
@@ -20,7 +20,7 @@
 from gentianmux.follower import Follower
 from gentianmux.handlers import handle
 from gentianmux.ids import NO_TIME, shard_of
-from gentianmux.membership import State
+from gentianmux.membership import ProcessState
 from gentianmux.messages import Answer, MemberUpdate, Message, Submit, Task
 from gentianmux.node import announce
 from gentianmux.node_context import NodeContext
@@ -118,16 +118,16 @@
         self._world = world
         self._process = process
 
-    def state_of(self, process: str) -> State:
+    def state_of(self, process: str) -> ProcessState:
         silent_s = self._world.silent_s(self._process, process)
         if process in self._world.leaving and silent_s < SUSPECT_S:
-            return State.LEAVING
+            return ProcessState.LEAVING
         if silent_s < SUSPECT_S:
-            return State.ALIVE
-        return State.SUSPECT if silent_s < 2 * SUSPECT_S else State.DEAD
+            return ProcessState.ALIVE
+        return ProcessState.SUSPECT if silent_s < 2 * SUSPECT_S else ProcessState.DEAD
 
     def is_alive(self, process: str) -> bool:
-        return self.state_of(process) is State.ALIVE
+        return self.state_of(process) is ProcessState.ALIVE
 
     def alive(self, role: str = "") -> list[MemberUpdate]:
         nodes = [node for node in self._world.nodes.values() if self.is_alive(node.process)]
--- a/src/gentianmux/coordinator.py
+++ b/src/gentianmux/coordinator.py
@@ -8,7 +8,7 @@
 from .errors import GentianmuxError
 from .job import Job, Phase, Waiter
 from .ledger import AdmissionDecision, AdmissionResult
-from .membership import State
+from .membership import ProcessState
 from .messages import (
     Answer,
     Cancel,
@@ -348,7 +348,7 @@
             if agent not in holding or self._ctx.members.is_alive(agent):
                 del self._lost_since[agent]
         for agent in sorted(holding):
-            if self._ctx.members.state_of(agent) in (State.DEAD, None):
+            if self._ctx.members.state_of(agent) in (ProcessState.DEAD, None):
                 self.on_lost(agent, opened=True, refused=False)
 
     # Answers
--- a/src/gentianmux/frames.py
+++ b/src/gentianmux/frames.py
@@ -34,7 +34,7 @@
     return body
 
 
-def pack(body: bytes, key: bytes = b"") -> bytes:
+def pack_frame(body: bytes, key: bytes = b"") -> bytes:
     """Make a frame of a message body."""
     sealed = add_digest(body, key)
     return _LENGTH.pack(len(sealed)) + sealed
@@ -63,7 +63,7 @@
 
     Examples
     --------
-    >>> list(split_frames([pack(b"hi")[:5], pack(b"hi")[5:]]))
+    >>> list(split_frames([pack_frame(b"hi")[:5], pack_frame(b"hi")[5:]]))
     [b'hi']
     """
     buffer = bytearray()
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -374,7 +374,7 @@
 
     # Leaving
 
-    def begin_leaving(self, until: float) -> None:
+    def begin_shutdown(self, until: float) -> None:
         """Begin only what can be expected to end before ``until``.
 
         The endpoint is then used nearly up to the end, instead of idling beside its longest run:
@@ -398,7 +398,7 @@
 
     def leave(self, until: float) -> None:
         """Let what runs end, and move the rest before ``until``."""
-        self.begin_leaving(until)
+        self.begin_shutdown(until)
         while not self.has_left() and self._ctx.clock.now() < until:
             gevent.sleep(0.02)
         self._ctx.leaves_at = self._ctx.clock.now()
--- a/src/gentianmux/leased/caller_watch.py
+++ b/src/gentianmux/leased/caller_watch.py
@@ -39,10 +39,10 @@
         handle.waiters -= 1
         if watch is not None:
             watch.stop()
-    if handle.verdict is None:
+    if handle.result is None:
         logger.bind(job=handle.job.spec.job_id).error("no verdict in time")
         entry.abandon(handle, "no verdict in time")
-    return handle.verdict or JobResult(JobOutcome.UNKNOWN, "no verdict in time")
+    return handle.result or JobResult(JobOutcome.UNKNOWN, "no verdict in time")
 
 
 class CallerWatch:
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -281,7 +281,7 @@
 
         Callers keep their connections for some time after the balancer has been told.
         """
-        self.begin_leaving(until)
+        self.begin_shutdown(until)
         gevent.sleep(linger_s)
         while not self.has_left() and self._ctx.clock.now() < until:
             gevent.sleep(LEAVE_CHECK_S)
@@ -289,7 +289,7 @@
         for handle in list(self._ctx.jobs.values()):
             self._ctx.give_up(handle.job, "the entry ends")
 
-    def begin_leaving(self, until: float) -> None:
+    def begin_shutdown(self, until: float) -> None:
         """Take only what can be expected to end before ``until``."""
         self.leaving = True
         self._shutdown_at = until
--- a/src/gentianmux/leased/entry_context.py
+++ b/src/gentianmux/leased/entry_context.py
@@ -76,22 +76,22 @@
         self._claims_until = 0.0
         self._claims_of = 0
 
-    def finish(self, job: JobState, verdict: JobResult) -> None:
+    def finish(self, job: JobState, result: JobResult) -> None:
         """End a job: take its runs back, and hand its verdict to those who wait."""
         handle = self.jobs.pop(job.spec.job_id, None)
         if handle is None:
             return
         self.backlog.drop(job)
         self._withdraw(job)
-        handle.verdict = verdict
+        handle.result = result
         took_s = self.clock.now() - job.arrived
-        self.metrics.count("jobs_ended", label=verdict.outcome.value)
+        self.metrics.count("jobs_ended", label=result.outcome.value)
         self.metrics.observe("job_seconds", took_s, label=job.queue.name)
         logger.bind(
             job=job.spec.job_id,
             queue=job.queue.name,
-            outcome=verdict.outcome.value,
-            reason=verdict.reason,
+            outcome=result.outcome.value,
+            reason=result.reason,
             took_ms=round(took_s * 1000),
             objective_ms=round(job.objective_s * 1000),
             time_limit_ms=round((job.deadline - job.arrived) * 1000),
--- a/src/gentianmux/leased/links.py
+++ b/src/gentianmux/leased/links.py
@@ -13,7 +13,7 @@
 from ..codes import ResultCode
 from ..conn import Conn, quietly, receive, tune
 from ..errors import FrameError
-from ..frames import pack, split_frames
+from ..frames import pack_frame, split_frames
 from ..listeners import Listeners
 from ..messages import PROTOCOL_VERSION, Hello, Message
 from ..metrics import Metrics
@@ -178,7 +178,7 @@
         frames = split_frames(receive(sock), self._key)
         try:
             with gevent.Timeout(HELLO_S):
-                sock.sendall(pack(encode(self._me), self._key))
+                sock.sendall(pack_frame(encode(self._me), self._key))
                 hello = _expect_hello(frames)
         except (gevent.Timeout, OSError, FrameError) as exc:
             self._metrics.count("links_refused", label=type(exc).__name__)
@@ -256,7 +256,7 @@
         conn = self._open.get(process)
         if conn is None:
             return False
-        frame = pack(encode(msg), self._key)
+        frame = pack_frame(encode(msg), self._key)
         self._metrics.count("frames_out", label=type(msg).__name__)
         self._metrics.count("bytes_out", len(frame))
         return conn.put(frame)
--- a/src/gentianmux/leased/ticket.py
+++ b/src/gentianmux/leased/ticket.py
@@ -20,11 +20,11 @@
 
     Examples
     --------
-    ``handle.done.wait(timeout_s)`` and then ``handle.verdict``.
+    ``handle.done.wait(timeout_s)`` and then ``handle.result``.
     """
 
     def __init__(self, job: JobState) -> None:
         self.job = job
         self.done = Event()
-        self.verdict: JobResult | None = None
+        self.result: JobResult | None = None
         self.waiters = 0
--- a/src/gentianmux/membership.py
+++ b/src/gentianmux/membership.py
@@ -16,7 +16,7 @@
 ISOLATED_AFTER = 3
 
 
-class State(IntEnum):
+class ProcessState(IntEnum):
     """What is thought of a process."""
 
     ALIVE = 0
@@ -69,7 +69,9 @@
         self.since = now
 
 
-def describe(join: Join, state: State = State.ALIVE, counter: int = 0) -> MemberUpdate:
+def describe(
+    join: Join, state: ProcessState = ProcessState.ALIVE, counter: int = 0
+) -> MemberUpdate:
     """What gossip says of a process that announced itself."""
     return MemberUpdate(
         join.process,
@@ -135,16 +137,16 @@
     def is_alive(self, process: str) -> bool:
         """Whether a process may be given new work."""
         if process == self.me.process:
-            return self.me.state == State.ALIVE
+            return self.me.state == ProcessState.ALIVE
         member = self._members.get(process)
-        return member is not None and member.update.state == State.ALIVE
+        return member is not None and member.update.state == ProcessState.ALIVE
 
-    def state_of(self, process: str) -> State | None:
+    def state_of(self, process: str) -> ProcessState | None:
         """What is thought of a process; None when it is not known."""
         if process == self.me.process:
-            return State(self.me.state)
+            return ProcessState(self.me.state)
         member = self._members.get(process)
-        return None if member is None else State(member.update.state)
+        return None if member is None else ProcessState(member.update.state)
 
     def get(self, process: str) -> MemberUpdate | None:
         """What is known of a process."""
@@ -162,7 +164,7 @@
         return [
             each
             for each in self.everyone()
-            if each.state == State.ALIVE and (not role or each.role in (role, "standalone"))
+            if each.state == ProcessState.ALIVE and (not role or each.role in (role, "standalone"))
         ]
 
     def learn(self, joins: Iterable[Join], now: float) -> None:
@@ -173,7 +175,7 @@
 
     def leave(self) -> None:
         """Say that this process is leaving."""
-        self.me = self.me._replace(state=int(State.LEAVING), counter=self.me.counter + 1)
+        self.me = self.me._replace(state=int(ProcessState.LEAVING), counter=self.me.counter + 1)
         self._spread(self.me.process)
 
     def tick(self, now: float) -> list[Outgoing]:
@@ -252,7 +254,7 @@
         others = [
             each.update
             for each in self._members.values()
-            if each.update.state == State.ALIVE and each.update.process != target
+            if each.update.state == ProcessState.ALIVE and each.update.process != target
         ]
         chosen = self._rng.sample(others, min(INDIRECT_PROBES, len(others)))
         return [
@@ -261,19 +263,19 @@
 
     def _failed(self, target: str, now: float) -> None:
         member = self._members.get(target)
-        if member is None or member.update.state == State.DEAD:
+        if member is None or member.update.state == ProcessState.DEAD:
             return
         self._failed_targets.add(target)
         if self.isolated:
             return
-        if member.update.state in (State.ALIVE, State.LEAVING):
-            self._put(member.update._replace(state=int(State.SUSPECT)), now)
+        if member.update.state in (ProcessState.ALIVE, ProcessState.LEAVING):
+            self._put(member.update._replace(state=int(ProcessState.SUSPECT)), now)
 
     def _age(self, now: float) -> None:
         for process in list(self._suspects):
             member = self._members[process]
             if now - member.since > self._timing.suspect_s:
-                self._put(member.update._replace(state=int(State.DEAD)), now)
+                self._put(member.update._replace(state=int(ProcessState.DEAD)), now)
         for process in list(self._dead):
             if now - self._members[process].since > FORGET_S:
                 self._forget(process)
@@ -289,14 +291,14 @@
                 self._ring = [
                     process
                     for process, each in self._members.items()
-                    if each.update.state != State.DEAD
+                    if each.update.state != ProcessState.DEAD
                 ]
                 self._rng.shuffle(self._ring)
             if not self._ring:
                 return None
             process = self._ring.pop()
             member = self._members.get(process)
-            if member is not None and member.update.state != State.DEAD:
+            if member is not None and member.update.state != ProcessState.DEAD:
                 return process
 
     def _probe(self, target: str, now: float, asked_by: str) -> Outgoing:
@@ -311,7 +313,7 @@
             return
         known = self._members.get(update.process)
         if known is None:
-            if update.state != State.DEAD:
+            if update.state != ProcessState.DEAD:
                 self._put(update, now)
             return
         ours = (known.update.counter, known.update.state)
@@ -327,7 +329,10 @@
     def _put(self, update: MemberUpdate, now: float) -> None:
         known = self._members.get(update.process)
         self._members[update.process] = _Member(update, now)
-        for state, those in ((State.SUSPECT, self._suspects), (State.DEAD, self._dead)):
+        for state, those in (
+            (ProcessState.SUSPECT, self._suspects),
+            (ProcessState.DEAD, self._dead),
+        ):
             if update.state == state:
                 those.add(update.process)
             else:
@@ -342,7 +347,7 @@
     def _gossip(self, kind: Kind, seq: int, target: str) -> Gossip:
         updates = [self.me]
         about = self._members.get(target)
-        if about is not None and about.update.state != State.ALIVE:
+        if about is not None and about.update.state != ProcessState.ALIVE:
             # A process that hears it is suspected refutes it with a higher counter.
             updates.append(about.update)
         updates.extend(self._take_updates(UPDATES_A_DATAGRAM - len(updates)))
--- a/src/gentianmux/peers.py
+++ b/src/gentianmux/peers.py
@@ -13,7 +13,7 @@
 from .codes import ResultCode
 from .conn import Conn, quietly, receive, tune
 from .errors import FrameError
-from .frames import pack, split_frames
+from .frames import pack_frame, split_frames
 from .messages import PROTOCOL_VERSION, Hello, Message
 from .node_context import NodeContext
 
@@ -78,7 +78,7 @@
         conn = self._conns.get(process) or self._dial(process)
         if conn is None:
             return False
-        frame = pack(encode(msg), self._key)
+        frame = pack_frame(encode(msg), self._key)
         self._ctx.metrics.count("frames_out", label=type(msg).__name__)
         self._ctx.metrics.count("bytes_out", len(frame))
         return conn.put(frame)
@@ -119,7 +119,7 @@
         frames = split_frames(receive(sock), self._key)
         try:
             with gevent.Timeout(HELLO_TIMEOUT_S):
-                sock.sendall(pack(encode(self._hello()), self._key))
+                sock.sendall(pack_frame(encode(self._hello()), self._key))
                 hello = _expect_hello(frames)
         except (gevent.Timeout, OSError, FrameError):
             return None
@@ -136,7 +136,7 @@
         try:
             with gevent.Timeout(HELLO_TIMEOUT_S):
                 hello = _expect_hello(frames)
-                sock.sendall(pack(encode(self._hello()), self._key))
+                sock.sendall(pack_frame(encode(self._hello()), self._key))
         except (gevent.Timeout, OSError, FrameError) as exc:
             self._note_bad(exc)
             self._open.discard(conn)
--- a/src/gentianmux/platform/callers.py
+++ b/src/gentianmux/platform/callers.py
@@ -150,14 +150,14 @@
         if not self._entry.takes(spec):
             raise GentianmuxError(ResultCode.DRAINING, retry_after_ms=RETRY_AFTER_S * 1000)
         handle = self._entry.submit(spec, queue, time_limit_s)
-        verdict = wait_for_result(self._entry, handle, environ.get("gentianmux.socket"))
-        if verdict.outcome in _STATES:
-            return Response(200, {"state": _STATES[verdict.outcome]})
-        if verdict.outcome is JobOutcome.CANCELLED:
+        result = wait_for_result(self._entry, handle, environ.get("gentianmux.socket"))
+        if result.outcome in _STATES:
+            return Response(200, {"state": _STATES[result.outcome]})
+        if result.outcome is JobOutcome.CANCELLED:
             return Response(200, {"state": "cancelled"})
-        status = 503 if verdict.outcome is JobOutcome.NOT_RUN else 504
-        content = {"error": verdict.reason, "job": job_id, "outcome": verdict.outcome.value}
-        return Response(status, content, verdict.retry_after_s)
+        status = 503 if result.outcome is JobOutcome.NOT_RUN else 504
+        content = {"error": result.reason, "job": job_id, "outcome": result.outcome.value}
+        return Response(status, content, result.retry_after_s)
 
 
 def _time_limit_s(environ: dict[str, Any], queue: QueueConfig) -> float:
--- a/src/gentianmux/platform/endpoint.py
+++ b/src/gentianmux/platform/endpoint.py
@@ -93,7 +93,7 @@
     )
 
 
-def read_farewell(body: bytes) -> int:
+def decode_shutdown_notice(body: bytes) -> int:
     """When the endpoint that says it ends was started, in Unix milliseconds; 0 when untold.
 
     Raises
--- a/src/gentianmux/platform/heartbeats.py
+++ b/src/gentianmux/platform/heartbeats.py
@@ -9,7 +9,7 @@
 from ..leased.agent import Agent
 from ..settings import Settings
 from ..typed_json import read_object
-from .endpoint import decode_heartbeat, read_farewell
+from .endpoint import decode_heartbeat, decode_shutdown_notice
 
 _PATH = re.compile(r"/v1/instances/([^/]{1,100})/(heartbeat|deregister)\Z")
 
@@ -41,7 +41,7 @@
         try:
             body = read_body(environ, self._cfg)
             if call == "deregister":
-                self._agent.on_left(endpoint, read_farewell(body))
+                self._agent.on_left(endpoint, decode_shutdown_notice(body))
                 return "200 OK"
             report = decode_heartbeat(endpoint, read_object(body), self._endpoint_address)
         except (GentianmuxError, ValueError) as exc:
--- a/src/gentianmux/shard_manager.py
+++ b/src/gentianmux/shard_manager.py
@@ -15,7 +15,7 @@
 from .job import Waiter
 from .lease import HeirLease, LeaseTimes, OwnerLease
 from .ledger import Ledger, LedgerBounds
-from .membership import State
+from .membership import ProcessState
 from .messages import (
     LeaseGrant,
     LeaseRequest,
@@ -270,7 +270,10 @@
         if number in self._taking and lease.is_leaving(row):
             return now - self._taking[number] > REAPPEND_S
         # A leaving owner moves its shards itself, ledgers and all; it is waited for while it lives.
-        present = self._ctx.members.state_of(row.owner) in (State.ALIVE, State.LEAVING)
+        present = self._ctx.members.state_of(row.owner) in (
+            ProcessState.ALIVE,
+            ProcessState.LEAVING,
+        )
         if present or self._ctx.draining:
             return False
         return self._ctx.fleet.is_gone(row.owner) or lease.may_take_over(row, now)
--- a/src/gentianmux/witness.py
+++ b/src/gentianmux/witness.py
@@ -3,7 +3,7 @@
 from .errors import LogError
 from .fleet_records import Evict, to_json
 from .fleet_state import STREAM
-from .membership import State
+from .membership import ProcessState
 from .messages import MemberUpdate
 from .node_context import NodeContext
 from .shard_manager import rendezvous
@@ -33,7 +33,9 @@
 
     def on_change(self, update: MemberUpdate) -> None:
         """React to a change of what membership thinks of a process."""
-        if update.state in (State.SUSPECT, State.DEAD) and self._is_chosen(update.process):
+        if update.state in (ProcessState.SUSPECT, ProcessState.DEAD) and self._is_chosen(
+            update.process
+        ):
             self._ctx.peers.knock(update.process)
 
     def on_refused(self, process: str) -> None:
@@ -61,7 +63,9 @@
     def check_dead(self) -> None:
         """Look again at dead processes that the log still names."""
         for process in list(self._ctx.fleet.processes):
-            if self._ctx.members.state_of(process) is State.DEAD and self._is_chosen(process):
+            if self._ctx.members.state_of(process) is ProcessState.DEAD and self._is_chosen(
+                process
+            ):
                 self._ctx.peers.knock(process)
 
     def _is_chosen(self, process: str) -> bool:
--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -39,7 +39,7 @@
 
     def abandon(self, handle: JobHandle, reason: str) -> None:
         self.abandoned.append(reason)
-        handle.verdict = JobResult(JobOutcome.UNKNOWN, reason)
+        handle.result = JobResult(JobOutcome.UNKNOWN, reason)
         handle.done.set()
 
     def handle(self) -> JobHandle:
@@ -47,7 +47,7 @@
         return JobHandle(JobState(spec, QUEUE, 0.0, 9.0))
 
     def refuse(self, handle: JobHandle) -> None:
-        handle.verdict = JobResult(JobOutcome.NOT_RUN, "no room")
+        handle.result = JobResult(JobOutcome.NOT_RUN, "no room")
         if self._later:
             gevent.spawn(handle.done.set)
         else:
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -9,7 +9,7 @@
 from gentianmux.codec import MAX_FRAME_BYTES, decode, encode
 from gentianmux.codes import ResultCode
 from gentianmux.errors import FrameError
-from gentianmux.frames import DIGEST_BYTES, pack, split_frames
+from gentianmux.frames import DIGEST_BYTES, pack_frame, split_frames
 
 SAMPLES = [
     m.Hello(1, "w1.5", "agent", "127.0.0.1:1"),
@@ -63,7 +63,7 @@
 @given(st.integers(0, len(SAMPLES) - 1), st.integers(0, 2000), st.integers(1, 255))
 @settings(max_examples=300, deadline=None)
 def test_a_flipped_byte_is_refused_before_the_codec_sees_it(which: int, at: int, byte: int) -> None:
-    frame = bytearray(pack(encode(SAMPLES[which]), b"k"))
+    frame = bytearray(pack_frame(encode(SAMPLES[which]), b"k"))
     frame[4 + at % (len(frame) - 4)] ^= byte
     with pytest.raises(FrameError) as caught:
         list(split_frames([bytes(frame)], b"k"))
@@ -72,7 +72,7 @@
 
 def test_a_frame_made_with_another_key_is_refused() -> None:
     with pytest.raises(FrameError):
-        list(split_frames([pack(encode(SAMPLES[0]), b"theirs")], b"ours"))
+        list(split_frames([pack_frame(encode(SAMPLES[0]), b"theirs")], b"ours"))
 
 
 def test_greenlets_that_take_turns_can_use_the_codec() -> None:
@@ -88,7 +88,7 @@
 
 @given(st.lists(st.binary(max_size=50), max_size=8), st.integers(1, 9))
 def test_frames_survive_any_cutting(bodies: list[bytes], step: int) -> None:
-    stream = b"".join(pack(body) for body in bodies)
+    stream = b"".join(pack_frame(body) for body in bodies)
     chunks = [stream[at : at + step] for at in range(0, len(stream), step)]
     assert list(split_frames(chunks)) == bodies
 
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -45,7 +45,7 @@
 from gentianmux.leased.resources import Resources
 from gentianmux.leased.run_table import RunTable
 from gentianmux.messages import Assign, LeasedTask
-from gentianmux.platform.endpoint import PlatformEndpoint, decode_heartbeat, read_farewell
+from gentianmux.platform.endpoint import PlatformEndpoint, decode_heartbeat, decode_shutdown_notice
 from gentianmux.platform.http_client import HttpReply
 from standins.platform_endpoint import PlatformEndpointApp
 
@@ -548,13 +548,13 @@
 
 @pytest.mark.parametrize("body, born", [(b"", 0), (b"{}", 0), (b'{"born": 12}', 12)])
 def test_a_farewell_may_tell_the_start(body: bytes, born: int) -> None:
-    assert read_farewell(body) == born
+    assert decode_shutdown_notice(body) == born
 
 
 @pytest.mark.parametrize("body", [b"[]", b'{"born": "12"}', b'{"born": -1}', b'{"born": 1.5}'])
 def test_a_farewell_that_cannot_be_read_is_refused(body: bytes) -> None:
     with pytest.raises(ValueError):
-        read_farewell(body)
+        decode_shutdown_notice(body)
 
 
 @pytest.mark.parametrize("born", ["1", 1.5, None, True, -1, [1]])
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -46,7 +46,7 @@
     assert begun_in(world, "fd1") == before > 0
     world.run(3.0)
     assert world.breaches == []
-    assert {job.handle.verdict.outcome for job in world.asked} == {JobOutcome.COMPLETED}
+    assert {job.handle.result.outcome for job in world.asked} == {JobOutcome.COMPLETED}
     assert world.wasted_runs == 0 and len(early) == 4
 
 
@@ -123,7 +123,7 @@
     rows = [row for msg in sent if isinstance(msg, EndedRuns) for row in msg.runs]
     assert rows and {RunOutcome(row.how) for row in rows} == {RunOutcome.DRAINING}
     assert begun_in(world, "fd1") == 0
-    assert {job.handle.verdict.outcome for job in jobs} == {JobOutcome.COMPLETED}
+    assert {job.handle.result.outcome for job in jobs} == {JobOutcome.COMPLETED}
 
 
 def test_a_run_taken_on_right_before_the_evacuation_is_not_started() -> None:
@@ -145,10 +145,10 @@
     world.run(0.05)
     job = world.submit("e0", tasks=2)
     world.run(0.05)
-    verdict = job.handle.verdict
-    assert verdict is not None
-    assert verdict.outcome is JobOutcome.NOT_RUN
-    assert verdict.retry_after_s > 1
+    result = job.handle.result
+    assert result is not None
+    assert result.outcome is JobOutcome.NOT_RUN
+    assert result.retry_after_s > 1
     assert world.false_refusals() == []
 
 
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -262,5 +262,5 @@
     # It waited behind the larger one for room of 3,000, beside 1,600 that nobody used.
     assert small.ended_at is not None
     world.run(1.0)
-    assert large.handle.verdict is not None
+    assert large.handle.result is not None
     assert world.breaches == []
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -20,8 +20,8 @@
 
 
 def outcome(asked: object) -> JobOutcome | None:
-    verdict = asked.handle.verdict  # type: ignore[attr-defined]
-    return None if verdict is None else verdict.outcome
+    result = asked.handle.result  # type: ignore[attr-defined]
+    return None if result is None else result.outcome
 
 
 def holder_of(world: World, task: str) -> str:
@@ -70,7 +70,7 @@
     world.run(0.3)
     refused = [job for job in jobs if outcome(job) is JobOutcome.NOT_RUN]
     assert len(refused) >= 7
-    assert all(job.handle.verdict.retry_after_s > 0 for job in refused if job.handle.verdict)
+    assert all(job.handle.result.retry_after_s > 0 for job in refused if job.handle.result)
     quarter_s = jobs[0].handle.job.objective_s / 4
     assert max(job.ended_at - job.at for job in refused) < quarter_s
     assert_kept(world)
@@ -600,7 +600,7 @@
     world = ready_world()
     entry = world.entries["e0"].entry
     assert entry is not None
-    entry.begin_leaving(world.time + 5.0)
+    entry.begin_shutdown(world.time + 5.0)
     first = world.submit("e0", tasks=1, run_s=0.05)
     world.run(0.1)
     assert outcome(first) is JobOutcome.COMPLETED
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -5,7 +5,7 @@
 import pytest
 
 from gentianmux.codec import encode
-from gentianmux.membership import Membership, Outgoing, State, Timing
+from gentianmux.membership import Membership, Outgoing, ProcessState, Timing
 from gentianmux.messages import MemberUpdate
 
 TIMING = Timing(probe_s=0.5, suspect_s=1.5)
@@ -55,7 +55,7 @@
                 if address not in self.down:
                     self.send(address, core.tick(self.time))
 
-    def states(self, process: str) -> set[State | None]:
+    def states(self, process: str) -> set[ProcessState | None]:
         return {core.state_of(process) for at, core in self.cores.items() if at not in self.down}
 
 
@@ -73,15 +73,15 @@
 def test_a_silent_process_is_not_chosen_after_three_seconds(net: Net) -> None:
     net.down.add("10.0.0.5:1")
     net.run(3)
-    assert State.ALIVE not in net.states("w5.1")
+    assert ProcessState.ALIVE not in net.states("w5.1")
     net.run(4)
-    assert net.states("w5.1") == {State.DEAD}
+    assert net.states("w5.1") == {ProcessState.DEAD}
 
 
 def test_a_leaving_process_is_known_within_two_seconds(net: Net) -> None:
     net.cores["10.0.0.5:1"].leave()
     net.run(2)
-    assert net.states("w5.1") == {State.LEAVING}
+    assert net.states("w5.1") == {ProcessState.LEAVING}
 
 
 def test_a_process_thought_dead_refutes_it_on_coming_back(net: Net) -> None:
@@ -89,7 +89,7 @@
     net.run(8)
     net.down.clear()
     net.run(6)
-    assert net.states("w5.1") == {State.ALIVE}
+    assert net.states("w5.1") == {ProcessState.ALIVE}
 
 
 def test_lost_datagrams_make_nobody_dead(net: Net) -> None:
--- a/tests/test_send_window.py
+++ b/tests/test_send_window.py
@@ -167,7 +167,7 @@
     for second in range(8):
         jobs = [job for job in world.asked if second <= job.at - began < second + 1]
         done = [
-            j for j in jobs if j.handle.verdict and j.handle.verdict.outcome is JobOutcome.COMPLETED
+            j for j in jobs if j.handle.result and j.handle.result.outcome is JobOutcome.COMPLETED
         ]
         seconds.append(Second(len(jobs), len(done)))
     return Load(seconds, sum(j.ended_at - j.at > 1.2 for j in world.asked), world.wasted_runs)
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -53,8 +53,8 @@
 
 
 def is_in_time(job) -> bool:  # type: ignore[no-untyped-def]
-    verdict = job.handle.verdict
-    served = verdict is not None and verdict.outcome is JobOutcome.COMPLETED
+    result = job.handle.result
+    served = result is not None and result.outcome is JobOutcome.COMPLETED
     return served and job.ended_at - job.at <= job.handle.job.objective_s
 
 
@@ -84,6 +84,6 @@
     assigned = [msg for msg in sent if isinstance(msg, Assign)]
     assert sum(len(msg.tasks) for msg in assigned) == 8
     assert sum(len(msg.payloads) for msg in assigned) == 2
-    assert {job.handle.verdict.outcome for job in jobs if job.handle.verdict} == {
+    assert {job.handle.result.outcome for job in jobs if job.handle.result} == {
         JobOutcome.COMPLETED
     }
