--- a/bench/leased_world.py
+++ b/bench/leased_world.py
@@ -21,6 +21,7 @@
 from gentianmux.leased.entry import LOSS_CHECK_S, STEP_S, Entry
 from gentianmux.leased.entry_leases import REPORT_INTERVAL_S
 from gentianmux.leased.fleet_view import FleetView
+from gentianmux.leased.job_handle import JobHandle
 from gentianmux.leased.model import (
     EndpointReport,
     JobConfig,
@@ -32,7 +33,6 @@
 )
 from gentianmux.leased.resources import Resources
 from gentianmux.leased.settings import LeasedSettings, lease_s
-from gentianmux.leased.ticket import JobHandle
 from gentianmux.messages import PROTOCOL_VERSION, Hello, Message
 from gentianmux.metrics import Metrics
 from gentianmux.platform_log import MemoryKeyedLog
@@ -225,7 +225,7 @@
         def end_when_left() -> None:
             if process != self.process_of(name) or process not in self.alive:
                 return
-            if agent.has_left() or self.time >= until:
+            if agent.is_drained() or self.time >= until:
                 self.kill(process)
                 self.at(back_s, "", self.start_agent, name)
 
--- a/bench/world.py
+++ b/bench/world.py
@@ -184,8 +184,8 @@
 
     def _react(self) -> None:
         self.ctx.witness.check_dead()
-        if self.ctx.read_soon.is_set():
-            self.ctx.read_soon.clear()
+        if self.ctx.read_requested.is_set():
+            self.ctx.read_requested.clear()
 
     def _launch(self, job: JobRecord, record: TaskRecord) -> None:
         world = self._world
--- a/src/gentianmux/conn.py
+++ b/src/gentianmux/conn.py
@@ -101,7 +101,7 @@
     sock.settimeout(None)
 
 
-def quietly(write_out: Callable[[], None]) -> None:
+def run_writer(write_out: Callable[[], None]) -> None:
     """Run the writer of a connection; its reader reports why the connection ended."""
     try:
         write_out()
--- a/src/gentianmux/coordinator.py
+++ b/src/gentianmux/coordinator.py
@@ -277,7 +277,7 @@
         since = self._lost_since.setdefault(process, self._ctx.now())
         if refused:
             # The log may say that the agent left as planned; time to read it is given first.
-            self._ctx.read_soon.set()
+            self._ctx.read_requested.set()
             self._ctx.clock.call_later(READ_S, self._end_all_lost, process)
         elif self._ctx.now() - since > LOST_AFTER_S:
             self._end_all_lost(process)
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -384,7 +384,7 @@
         self._ctx.leaves_at = until
         self.send_load()
 
-    def has_left(self) -> bool:
+    def is_drained(self) -> bool:
         """Whether nothing runs any more; from the first such moment on, nothing begins."""
         if self._ctx.table.runs or self._starts.replacing:
             return False
@@ -399,7 +399,7 @@
     def leave(self, until: float) -> None:
         """Let what runs end, and move the rest before ``until``."""
         self.begin_shutdown(until)
-        while not self.has_left() and self._ctx.clock.now() < until:
+        while not self.is_drained() and self._ctx.clock.now() < until:
             gevent.sleep(0.02)
         self._ctx.leaves_at = self._ctx.clock.now()
         self._tell_state()
--- a/src/gentianmux/leased/caller_watch.py
+++ b/src/gentianmux/leased/caller_watch.py
@@ -7,8 +7,8 @@
 from loguru import logger
 
 from .entry import Entry
+from .job_handle import JobHandle, JobResult
 from .job_state import JobOutcome
-from .ticket import JobHandle, JobResult
 
 LAST_WORD_S = 0.5
 """Seconds beyond its deadline in which a job's verdict must have come; the entry checks deadlines
--- a/src/gentianmux/leased/config_feed.py
+++ b/src/gentianmux/leased/config_feed.py
@@ -136,7 +136,7 @@
         newest = self._store.newest(self._source.topic)
         # Before the configuration: a process that has one may begin to place runs.
         listed = filter(None, map(self._source.evacuated_domain, newest.values))
-        self.evacuations.read_all(listed, newest.end)
+        self.evacuations.apply_snapshot(listed, newest.end)
         if self._source.key in newest.values:
             self.offered(newest.values[self._source.key], "store")
         return newest.end
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -26,6 +26,7 @@
 from .evacuation_broadcast import EvacuationBroadcast
 from .evacuations import Evacuations
 from .fleet_view import FleetView
+from .job_handle import JobHandle, JobResult
 from .job_state import JobOutcome, JobState, longest_chain_s
 from .links import Links
 from .model import JobSpec, QueueConfig, RunOutcome
@@ -33,7 +34,6 @@
 from .resources import NO_RESOURCES
 from .run_ends import RunEnds
 from .shutdown import ends_in_time
-from .ticket import JobHandle, JobResult
 
 STEP_S = 0.01
 """Seconds between checks of deadlines and refusals, a quarter of the time in which the shortest
@@ -283,7 +283,7 @@
         """
         self.begin_shutdown(until)
         gevent.sleep(linger_s)
-        while not self.has_left() and self._ctx.clock.now() < until:
+        while not self.is_drained() and self._ctx.clock.now() < until:
             gevent.sleep(LEAVE_CHECK_S)
         self._shutdown_at = self._ctx.clock.now()
         for handle in list(self._ctx.jobs.values()):
@@ -294,7 +294,7 @@
         self.leaving = True
         self._shutdown_at = until
 
-    def has_left(self) -> bool:
+    def is_drained(self) -> bool:
         """Whether no job has been here for a while; from then on none is taken.
 
         A job taken between the last answer and the end of the process would be cut off.
--- a/src/gentianmux/leased/entry_context.py
+++ b/src/gentianmux/leased/entry_context.py
@@ -11,10 +11,10 @@
 from .claiming import claims_of, signature
 from .config_feed import ConfigFeed
 from .fleet_view import AgentView, FleetView
+from .job_handle import JobHandle, JobResult
 from .job_state import JobOutcome, JobState
 from .links import Links
 from .send_window import SendWindow
-from .ticket import JobHandle, JobResult
 
 CLAIMS_S = 0.01
 """Seconds for which worked-out claims hold while nothing else waits than before: how soon the most
--- a/src/gentianmux/leased/evacuations.py
+++ b/src/gentianmux/leased/evacuations.py
@@ -48,7 +48,7 @@
     Examples
     --------
     >>> feed = EvacuationFeed(metrics)
-    >>> feed.read_all(["fd1"], 5)
+    >>> feed.apply_snapshot(["fd1"], 5)
     >>> feed.read_changes([("fd1", False), ("fd2", True)], 7)
     >>> feed.current
     Evacuations(position=7, failure_domains=('fd2',))
@@ -69,7 +69,7 @@
         """Whether a failure domain is evacuated at present."""
         return failure_domain in self.current.failure_domains
 
-    def read_all(self, failure_domains: Iterable[str], position: int) -> None:
+    def apply_snapshot(self, failure_domains: Iterable[str], position: int) -> None:
         """Take in every evacuation that the store lists at a position."""
         self._listed = set(failure_domains)
         self._take_listed(position)
--- a/src/gentianmux/leased/links.py
+++ b/src/gentianmux/leased/links.py
@@ -11,7 +11,7 @@
 from ..clock import Clock
 from ..codec import decode, encode
 from ..codes import ResultCode
-from ..conn import Conn, quietly, receive, tune
+from ..conn import Conn, receive, run_writer, tune
 from ..errors import FrameError
 from ..frames import pack_frame, split_frames
 from ..listeners import Listeners
@@ -213,7 +213,7 @@
         self.on_open(hello)
 
     def _run(self, conn: Conn, frames: Iterator[bytes]) -> None:
-        writer = gevent.spawn(quietly, conn.write_out)
+        writer = gevent.spawn(run_writer, conn.write_out)
         reason = "closed by the peer"
         try:
             for body in frames:
--- a/src/gentianmux/leased/run_ends.py
+++ b/src/gentianmux/leased/run_ends.py
@@ -4,9 +4,9 @@
 
 from ..messages import Holding, RunRef, Withdraw
 from .entry_context import EntryContext
+from .job_handle import JobResult
 from .job_state import JobOutcome
 from .model import RunOutcome, instance_of
-from .ticket import JobResult
 
 REFUSED_PAUSE_S = 0.05
 """Seconds for which an agent that refused for other reasons than room gets nothing new."""
--- a/src/gentianmux/node_context.py
+++ b/src/gentianmux/node_context.py
@@ -69,7 +69,7 @@
         self.metrics = Metrics(cfg)
         self.claims = Claims(self.config)
         self.draining = False
-        self.read_soon = Event()
+        self.read_requested = Event()
         timing = Timing(cfg.probe_ms / 1000, cfg.suspect_ms / 1000)
         self.members = Membership(describe(me), timing, Random(f"gossip {me.process}"))
 
--- a/src/gentianmux/peers.py
+++ b/src/gentianmux/peers.py
@@ -11,7 +11,7 @@
 
 from .codec import decode, encode
 from .codes import ResultCode
-from .conn import Conn, quietly, receive, tune
+from .conn import Conn, receive, run_writer, tune
 from .errors import FrameError
 from .frames import pack_frame, split_frames
 from .messages import PROTOCOL_VERSION, Hello, Message
@@ -150,7 +150,7 @@
     def _run(self, conn: Conn, frames: Iterator[bytes]) -> None:
         conn.open()
         self._open.add(conn)
-        writer = gevent.spawn(quietly, conn.write_out)
+        writer = gevent.spawn(run_writer, conn.write_out)
         try:
             for body in frames:
                 msg = decode(body)
--- a/src/gentianmux/shard_manager.py
+++ b/src/gentianmux/shard_manager.py
@@ -151,7 +151,7 @@
         ahead = [each for each in msg.shards if each.base > self._ctx.fleet.version]
         if ahead:
             self._early[sender] = msg._replace(shards=ahead)
-            self._ctx.read_soon.set()
+            self._ctx.read_requested.set()
 
     def _answer_early(self) -> None:
         """Answer renewals that arrived before the records they stand on had been read."""
@@ -334,7 +334,7 @@
             self._ctx.log.append(STREAM, to_json(record))
         except LogError:
             self._ctx.metrics.count("log_errors")
-        self._ctx.read_soon.set()
+        self._ctx.read_requested.set()
 
     def trim(self) -> None:
         """Let ledgers forget what their bounds say."""
--- a/src/gentianmux/stream_reader.py
+++ b/src/gentianmux/stream_reader.py
@@ -38,13 +38,13 @@
     def run(self) -> None:
         """Read for as long as the process lives."""
         while True:
-            own_append = self._ctx.read_soon.is_set()
-            self._ctx.read_soon.clear()
+            own_append = self._ctx.read_requested.is_set()
+            self._ctx.read_requested.clear()
             if own_append or self._ctx.cfg.read_from == FROM_LOG or not self._has_source():
                 self.read()
             else:
                 self.pull()
-            self._ctx.read_soon.wait(self._ctx.cfg.tail_ms / 1000)
+            self._ctx.read_requested.wait(self._ctx.cfg.tail_ms / 1000)
 
     def read(self) -> bool:
         """Read both streams to their ends; false when the log did not answer."""
@@ -129,7 +129,7 @@
         except LogError:
             self._ctx.metrics.count("log_errors")
             return False
-        self._ctx.read_soon.set()
+        self._ctx.read_requested.set()
         return True
 
     def leave(self, records_to: str = "") -> bool:
--- a/src/gentianmux/witness.py
+++ b/src/gentianmux/witness.py
@@ -81,4 +81,4 @@
             self._ctx.log.append(STREAM, to_json(record))
         except LogError:
             self._ctx.metrics.count("log_errors")
-        self._ctx.read_soon.set()
+        self._ctx.read_requested.set()
--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -16,10 +16,10 @@
 
 from gentianmux.http_server import HttpServer
 from gentianmux.leased.caller_watch import wait_for_result
+from gentianmux.leased.job_handle import JobHandle, JobResult
 from gentianmux.leased.job_state import JobOutcome, JobState
 from gentianmux.leased.model import JobSpec, QueueConfig, StepSpec
 from gentianmux.leased.resources import Resources
-from gentianmux.leased.ticket import JobHandle, JobResult
 from gentianmux.settings import Settings
 
 QUEUE = QueueConfig("q", "h", "/q/", "s", 5000, 60, 0, 3, 1.6)
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -187,7 +187,7 @@
 
 def test_a_store_that_lags_behind_a_peer_does_not_bring_an_evacuation_back() -> None:
     known = feed()
-    known.read_all(["fd1"], 4)
+    known.apply_snapshot(["fd1"], 4)
     known.offered(Evacuations(6, ("fd2",)), "peer")
     known.read_changes([], 5)
     assert known.current.failure_domains == ("fd2",)
@@ -197,8 +197,8 @@
 
 def test_a_lost_history_ends_no_evacuation_and_a_deleted_record_does() -> None:
     known = feed()
-    known.read_all(["fd1"], 4)
-    known.read_all(["fd1"], 90)
+    known.apply_snapshot(["fd1"], 4)
+    known.apply_snapshot(["fd1"], 90)
     assert known.covers("fd1")
-    known.read_all([], 91)
+    known.apply_snapshot([], 91)
     assert not known.covers("fd1")
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -604,16 +604,16 @@
     first = world.submit("e0", tasks=1, run_s=0.05)
     world.run(0.1)
     assert outcome(first) is JobOutcome.COMPLETED
-    assert not entry.has_left()
+    assert not entry.is_drained()
     world.run(0.05)
     last = world.submit("e0", tasks=1, run_s=0.05)
     assert entry.takes(last.spec)
-    assert not entry.has_left()
+    assert not entry.is_drained()
     world.run(0.1)
     assert outcome(last) is JobOutcome.COMPLETED
-    assert not entry.has_left()
+    assert not entry.is_drained()
     world.run(0.11)
-    assert entry.has_left()
+    assert entry.is_drained()
     assert not entry.takes(last.spec)
 
 
