--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -166,7 +166,7 @@
         join = _join(number)._replace(services=["s"])
         node.ctx.fleet.processes[join.process] = join
     node.ctx.fleet.version += 1
-    node.ctx.members.is_alive = lambda process: True  # type: ignore[method-assign]
+    node.ctx.membership.is_alive = lambda process: True  # type: ignore[method-assign]
     placement = node.ctx.placement
 
     def once() -> None:
--- a/bench/world.py
+++ b/bench/world.py
@@ -157,7 +157,7 @@
         self.name = name
         self.process = me.process
         self.ctx = NodeContext(cfg, me, FakeLog(world, name), FakeClock(world, me.process))
-        self.ctx.members = FakeMembers(world, me.process)  # type: ignore[assignment]
+        self.ctx.membership = FakeMembers(world, me.process)  # type: ignore[assignment]
         self.ctx.peers = FakePeers(world, me.process)  # type: ignore[assignment]
         ShardManager(self.ctx)
         Coordinator(self.ctx)
--- a/src/gentianmux/caller_api.py
+++ b/src/gentianmux/caller_api.py
@@ -138,7 +138,7 @@
             wait_s > 0,
         )
         ctx.metrics.count("requests")
-        self._limits.enter(member, ctx.now(), len(ctx.members.alive("entry")))
+        self._limits.enter(member, ctx.now(), len(ctx.membership.alive("entry")))
         ctx.dispatcher.inflight += 1
         try:
             reply = ctx.dispatcher.submit(msg, wait_s)
@@ -200,7 +200,7 @@
             "config_version": ctx.config.version,
             "fleet_version": ctx.fleet.version,
             "shards_owned": owned,
-            "agents": len(ctx.members.alive("agent")),
+            "agents": len(ctx.membership.alive("agent")),
         }
         return _json(200 if content["ready"] else 503, content)
 
--- a/src/gentianmux/conn.py
+++ b/src/gentianmux/conn.py
@@ -57,7 +57,7 @@
         self._wake.set()
         return True
 
-    def write_out(self) -> None:
+    def write_loop(self) -> None:
         """Send what is in the outbox for as long as the connection is open."""
         while not self.closed:
             self._wake.wait()
@@ -101,9 +101,9 @@
     sock.settimeout(None)
 
 
-def run_writer(write_out: Callable[[], None]) -> None:
+def run_writer(write_loop: Callable[[], None]) -> None:
     """Run the writer of a connection; its reader reports why the connection ended."""
     try:
-        write_out()
+        write_loop()
     except OSError:
         return
--- a/src/gentianmux/coordinator.py
+++ b/src/gentianmux/coordinator.py
@@ -345,10 +345,10 @@
         """Give up tasks at agents that have been thought dead for long."""
         holding = {agent for job in self.jobs.values() for agent in job.agents()}
         for agent in list(self._lost_since):
-            if agent not in holding or self._ctx.members.is_alive(agent):
+            if agent not in holding or self._ctx.membership.is_alive(agent):
                 del self._lost_since[agent]
         for agent in sorted(holding):
-            if self._ctx.members.state_of(agent) in (ProcessState.DEAD, None):
+            if self._ctx.membership.state_of(agent) in (ProcessState.DEAD, None):
                 self.on_lost(agent, opened=True, refused=False)
 
     # Answers
--- a/src/gentianmux/executor.py
+++ b/src/gentianmux/executor.py
@@ -123,9 +123,9 @@
         its tasks are known not to have run.
         """
         ctx = self._ctx
-        others = {each.process for each in ctx.members.alive("agent")}
+        others = {each.process for each in ctx.membership.alive("agent")}
         known = {job.coordinator for job in self.records.jobs.values()}
-        others |= {process for process in known if ctx.members.is_alive(process)}
+        others |= {process for process in known if ctx.membership.is_alive(process)}
         left = others - self._farewells - {ctx.process}
         if ctx.now() - self._asked_farewell > FAREWELL_AGAIN_S:
             self._asked_farewell = ctx.now()
@@ -214,7 +214,7 @@
         self._end_offer(msg.number)
 
     def _offer(self, member: str, reservation: Reservation) -> None:
-        if not self._ctx.members.is_alive(reservation.coordinator):
+        if not self._ctx.membership.is_alive(reservation.coordinator):
             return
         self._next_offer += 1
         number = self._next_offer
--- a/src/gentianmux/gossip.py
+++ b/src/gentianmux/gossip.py
@@ -48,7 +48,7 @@
 
     def tick(self) -> None:
         """One period: probes, and now and then a greeting to the seeds."""
-        members = self._ctx.members
+        members = self._ctx.membership
         self.send(members.tick(self._ctx.now()))
         if self._ticks % SEED_EVERY_TICKS == 0:
             known = {each.address for each in members.alive()}
@@ -79,7 +79,7 @@
             return
         if isinstance(msg, Gossip):
             source = f"{address[0]}:{address[1]}"
-            self.send(self._ctx.members.receive(msg, source, self._ctx.now()))
+            self.send(self._ctx.membership.receive(msg, source, self._ctx.now()))
 
 
 def _shorter(gossip: Gossip) -> Gossip:
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -79,7 +79,7 @@
     Examples
     --------
     ``agent.on_report(report)`` takes an endpoint's heartbeat, ``agent.run_loops()`` spawns what
-    runs for as long as the process lives, ``agent.leave(deadline)`` ends it without loss.
+    runs for as long as the process lives, ``agent.shut_down(deadline)`` ends it without loss.
     """
 
     def __init__(
@@ -396,7 +396,7 @@
             self.send_load()
         return now - self._idle_since > LAST_ORDERS_S
 
-    def leave(self, until: float) -> None:
+    def shut_down(self, until: float) -> None:
         """Let what runs end, and move the rest before ``until``."""
         self.begin_shutdown(until)
         while not self.is_drained() and self._ctx.clock.now() < until:
--- a/src/gentianmux/leased/config_feed.py
+++ b/src/gentianmux/leased/config_feed.py
@@ -148,7 +148,7 @@
             for key, value in changes.values
             if (domain := self._source.evacuated_domain(key))
         ]
-        self.evacuations.read_changes(evacuations, changes.end)
+        self.evacuations.apply_changes(evacuations, changes.end)
         for key, value in changes.values:
             if key == self._source.key and value:
                 self.offered(value, "store")
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -32,7 +32,7 @@
 from .model import JobSpec, QueueConfig, RunOutcome
 from .placing import Placing
 from .resources import NO_RESOURCES
-from .run_ends import RunEnds
+from .run_ends import RunCompletions
 from .shutdown import ends_in_time
 
 STEP_S = 0.01
@@ -87,7 +87,7 @@
         self._evacuation_broadcast = EvacuationBroadcast(
             feed.evacuations, links, self._on_evacuations
         )
-        self._ends = RunEnds(self._ctx)
+        self._ends = RunCompletions(self._ctx)
         self._admitting = Admitting(self._ctx)
         self._placer = Placing(self._ctx, self._ends, self._admitting.admissions)
         self.leaving = False
@@ -276,7 +276,7 @@
         """Whether a job can be expected to end before this process does."""
         return ends_in_time(longest_chain_s(spec), self._shutdown_at - self._ctx.clock.now())
 
-    def leave(self, linger_s: float, until: float) -> None:
+    def shut_down(self, linger_s: float, until: float) -> None:
         """Take what can still end before ``until``, for ``linger_s`` at least, and answer all.
 
         Callers keep their connections for some time after the balancer has been told.
--- a/src/gentianmux/leased/evacuations.py
+++ b/src/gentianmux/leased/evacuations.py
@@ -49,7 +49,7 @@
     --------
     >>> feed = EvacuationFeed(metrics)
     >>> feed.apply_snapshot(["fd1"], 5)
-    >>> feed.read_changes([("fd1", False), ("fd2", True)], 7)
+    >>> feed.apply_changes([("fd1", False), ("fd2", True)], 7)
     >>> feed.current
     Evacuations(position=7, failure_domains=('fd2',))
     """
@@ -74,7 +74,7 @@
         self._listed = set(failure_domains)
         self._take_listed(position)
 
-    def read_changes(self, changes: Iterable[tuple[str, bool]], position: int) -> None:
+    def apply_changes(self, changes: Iterable[tuple[str, bool]], position: int) -> None:
         """Take in the changes up to a position: failure domains, and whether each is evacuated."""
         for failure_domain, evacuated in changes:
             if evacuated:
--- a/src/gentianmux/leased/links.py
+++ b/src/gentianmux/leased/links.py
@@ -213,7 +213,7 @@
         self.on_open(hello)
 
     def _run(self, conn: Conn, frames: Iterator[bytes]) -> None:
-        writer = gevent.spawn(run_writer, conn.write_out)
+        writer = gevent.spawn(run_writer, conn.write_loop)
         reason = "closed by the peer"
         try:
             for body in frames:
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -13,7 +13,7 @@
 from .job_state import TASK_BYTES, JobState, TaskState
 from .model import RunOutcome
 from .resources import NO_RESOURCES, Resources
-from .run_ends import RunEnds
+from .run_ends import RunCompletions
 
 CLAIM_AGAIN_S = 0.02
 """Seconds between tellings of all agents that runs wait: four of the shortest waits for room."""
@@ -34,7 +34,7 @@
     ----------
     ctx : EntryContext
         The jobs and the agents.
-    ends : RunEnds
+    ends : RunCompletions
         Takes back what could not be sent.
     admissions : dict
         The decisions of each service, told when a job begins.
@@ -45,7 +45,7 @@
     """
 
     def __init__(
-        self, ctx: EntryContext, ends: RunEnds, admissions: defaultdict[str, Admission]
+        self, ctx: EntryContext, ends: RunCompletions, admissions: defaultdict[str, Admission]
     ) -> None:
         self._ctx = ctx
         self._ends = ends
--- a/src/gentianmux/leased/process.py
+++ b/src/gentianmux/leased/process.py
@@ -138,7 +138,7 @@
         base.links.dial(seed)
     gevent.spawn(_find_entries, agent, directory, base)
     stopping.wait()
-    agent.leave(base.clock.now() + cfg.grace_s - SPARE_S)
+    agent.shut_down(base.clock.now() + cfg.grace_s - SPARE_S)
     base.close()
 
 
@@ -211,7 +211,7 @@
         gevent.spawn(loop)
     directory.announce(Announcement(cfg.name, cfg.role, cfg.peer_address))
     stopping.wait()
-    entry.leave(LINGER_S, base.clock.now() + cfg.grace_s - SPARE_S)
+    entry.shut_down(LINGER_S, base.clock.now() + cfg.grace_s - SPARE_S)
     gevent.sleep(LAST_ANSWERS_S)
     base.close()
 
--- a/src/gentianmux/leased/run_ends.py
+++ b/src/gentianmux/leased/run_ends.py
@@ -12,7 +12,7 @@
 """Seconds for which an agent that refused for other reasons than room gets nothing new."""
 
 
-class RunEnds:
+class RunCompletions:
     """Ends runs, and with the last of them their job.
 
     Parameters
--- a/src/gentianmux/node.py
+++ b/src/gentianmux/node.py
@@ -68,7 +68,7 @@
         self.gossip = GossipServer(self.ctx)
         self.stream_reader = StreamReader(self.ctx)
         self.witness = Witness(self.ctx)
-        self.ctx.members.on_change = self.witness.on_change
+        self.ctx.membership.on_change = self.witness.on_change
         if self.ctx.is_agent:
             ShardManager(self.ctx)
             Coordinator(self.ctx)
@@ -121,7 +121,7 @@
         ctx = self.ctx
         until = ctx.now() + ctx.cfg.drain_s
         ctx.draining = True
-        ctx.members.leave()
+        ctx.membership.leave()
         logger.info("draining")
         gevent.sleep(NOTICE_S)
         while not self._is_empty():
--- a/src/gentianmux/node_context.py
+++ b/src/gentianmux/node_context.py
@@ -71,7 +71,7 @@
         self.draining = False
         self.read_requested = Event()
         timing = Timing(cfg.probe_ms / 1000, cfg.suspect_ms / 1000)
-        self.members = Membership(describe(me), timing, Random(f"gossip {me.process}"))
+        self.membership = Membership(describe(me), timing, Random(f"gossip {me.process}"))
 
     @property
     def process(self) -> str:
@@ -92,7 +92,7 @@
         joined = self.fleet.processes.get(process)
         if joined is not None:
             return joined.address
-        heard = self.members.get(process)
+        heard = self.membership.get(process)
         return None if heard is None else heard.address
 
     def now(self) -> float:
--- a/src/gentianmux/peers.py
+++ b/src/gentianmux/peers.py
@@ -150,7 +150,7 @@
     def _run(self, conn: Conn, frames: Iterator[bytes]) -> None:
         conn.open()
         self._open.add(conn)
-        writer = gevent.spawn(run_writer, conn.write_out)
+        writer = gevent.spawn(run_writer, conn.write_loop)
         try:
             for body in frames:
                 msg = decode(body)
--- a/src/gentianmux/placement.py
+++ b/src/gentianmux/placement.py
@@ -103,7 +103,7 @@
             own = join.process == self._ctx.process and pool_size > 1
             if own or join.process in self.leaving:
                 continue
-            if self._ctx.members.is_alive(join.process):
+            if self._ctx.membership.is_alive(join.process):
                 yield join
 
     def _allowed(
--- a/src/gentianmux/shard_manager.py
+++ b/src/gentianmux/shard_manager.py
@@ -179,7 +179,7 @@
     def step(self) -> None:
         """One round of renewals and decisions."""
         self._renew()
-        if self._ctx.members.isolated:
+        if self._ctx.membership.isolated:
             return
         self._mend_heirs()
         self._take_over()
@@ -223,7 +223,7 @@
         if row.heir == NOBODY:
             return True
         silent_s = now - owned.valid_until_seen
-        gone = not self._ctx.members.is_alive(row.heir)
+        gone = not self._ctx.membership.is_alive(row.heir)
         return silent_s > (0 if gone else 2 * self._times.lease_s)
 
     def is_pending(self, number: int, owned: OwnedShard, row: Shard, now: float) -> bool:
@@ -270,7 +270,7 @@
         if number in self._taking and lease.is_leaving(row):
             return now - self._taking[number] > REAPPEND_S
         # A leaving owner moves its shards itself, ledgers and all; it is waited for while it lives.
-        present = self._ctx.members.state_of(row.owner) in (
+        present = self._ctx.membership.state_of(row.owner) in (
             ProcessState.ALIVE,
             ProcessState.LEAVING,
         )
@@ -348,7 +348,7 @@
         return [
             join.process
             for join in ctx.fleet.processes.values()
-            if join.role != "entry" and ctx.members.is_alive(join.process)
+            if join.role != "entry" and ctx.membership.is_alive(join.process)
         ]
 
     def best(self, number: int, agents: Iterable[str]) -> str:
--- a/src/gentianmux/stream_reader.py
+++ b/src/gentianmux/stream_reader.py
@@ -63,8 +63,8 @@
     def _after_reading(self, fresh: int) -> None:
         ctx = self._ctx
         config, fleet = self.followers.values()
-        ctx.members.versions = Versions(config.next_offset - 1, fleet.next_offset - 1)
-        ctx.members.learn(ctx.fleet.processes.values(), ctx.now())
+        ctx.membership.versions = Versions(config.next_offset - 1, fleet.next_offset - 1)
+        ctx.membership.learn(ctx.fleet.processes.values(), ctx.now())
         if fresh and ctx.is_agent:
             ctx.shard_manager.on_fleet()
         if fresh and ctx.me.role != "agent":
@@ -73,16 +73,17 @@
     # Peers
 
     def _has_source(self) -> bool:
-        return any(self._ctx.members.is_alive(each) for each in self._ctx.members.heard)
+        return any(self._ctx.membership.is_alive(each) for each in self._ctx.membership.heard)
 
     def pull(self) -> None:
         """Ask a peer that is ahead for what this process has not read."""
-        heard = self._ctx.members.heard
+        heard = self._ctx.membership.heard
         for number, (stream, follower) in enumerate(self.followers.items()):
             ahead = [
                 process
                 for process, versions in heard.items()
-                if versions[number] >= follower.next_offset and self._ctx.members.is_alive(process)
+                if versions[number] >= follower.next_offset
+                and self._ctx.membership.is_alive(process)
             ]
             if ahead:
                 source = self._ctx.rng.choice(ahead)
@@ -145,7 +146,7 @@
                 self.append(stream, follower.fold.snapshot())
 
     def _is_writer(self, number: int) -> bool:
-        live = [each.process for each in self._ctx.members.alive()]
+        live = [each.process for each in self._ctx.membership.alive()]
         chosen = max(live, key=lambda each: rendezvous(number, each), default="")
         return chosen == self._ctx.process
 
--- a/src/gentianmux/witness.py
+++ b/src/gentianmux/witness.py
@@ -63,13 +63,13 @@
     def check_dead(self) -> None:
         """Look again at dead processes that the log still names."""
         for process in list(self._ctx.fleet.processes):
-            if self._ctx.members.state_of(process) is ProcessState.DEAD and self._is_chosen(
+            if self._ctx.membership.state_of(process) is ProcessState.DEAD and self._is_chosen(
                 process
             ):
                 self._ctx.peers.knock(process)
 
     def _is_chosen(self, process: str) -> bool:
-        live = [each.process for each in self._ctx.members.alive()]
+        live = [each.process for each in self._ctx.membership.alive()]
         number = sum(process.encode())
         chosen = sorted(live, key=lambda each: rendezvous(number, each))[-WITNESSES:]
         return self._ctx.process in chosen
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -189,9 +189,9 @@
     known = feed()
     known.apply_snapshot(["fd1"], 4)
     known.offered(Evacuations(6, ("fd2",)), "peer")
-    known.read_changes([], 5)
+    known.apply_changes([], 5)
     assert known.current.failure_domains == ("fd2",)
-    known.read_changes([("fd1", False), ("fd2", True)], 7)
+    known.apply_changes([("fd1", False), ("fd2", True)], 7)
     assert known.current == Evacuations(7, ("fd2",))
 
 
