--- a/bench/leased_links.py
+++ b/bench/leased_links.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING, Any
 
 from gentianmux.clock import Clock
-from gentianmux.leased.links import REOPEN_AFTER_S, REOPEN_INTERVAL_S, SILENT_S
+from gentianmux.leased.links import IDLE_TIMEOUT_S, REOPEN_AFTER_S, REOPEN_INTERVAL_S
 from gentianmux.messages import Hello, Message
 
 if TYPE_CHECKING:
@@ -68,7 +68,7 @@
 
     def close_idle(self) -> None:
         for process in list(self.open):
-            if self._world.time - self.heard[process] > SILENT_S:
+            if self._world.time - self.heard[process] > IDLE_TIMEOUT_S:
                 self.close(process)
 
     def renew(self, process: str) -> None:
--- a/src/gentianmux/caller_api.py
+++ b/src/gentianmux/caller_api.py
@@ -72,7 +72,7 @@
             "/metrics.json": {"GET": self._metrics},
             "/v1/explain/": {"GET": self._explain},
         }
-        if ctx.me.role == "agent":
+        if ctx.identity.role == "agent":
             operators_only = ("/healthz", "/readyz", "/metrics.json")
             self._routes = {path: self._routes[path] for path in operators_only}
 
--- a/src/gentianmux/conn.py
+++ b/src/gentianmux/conn.py
@@ -44,7 +44,7 @@
         self.opened = True
         self._wake.set()
 
-    def put(self, frame: bytes) -> bool:
+    def enqueue(self, frame: bytes) -> bool:
         """Queue a frame; false when the connection is closed or its outbox is full."""
         if self.closed or self._outbox_bytes + len(frame) > MAX_OUTBOX_BYTES:
             return False
--- a/src/gentianmux/executor.py
+++ b/src/gentianmux/executor.py
@@ -172,7 +172,7 @@
 
     def _may_run(self, member: str) -> bool:
         """Whether a member holds fewer slots here than its part of its claim."""
-        part = self._ctx.claims.part(member, self._ctx.me.name, self._ctx.now())
+        part = self._ctx.claims.part(member, self._ctx.identity.name, self._ctx.now())
         return part is None or self._held[member] < part
 
     def _weight(self, member: str) -> int:
--- a/src/gentianmux/handlers.py
+++ b/src/gentianmux/handlers.py
@@ -172,7 +172,7 @@
     """Tell the controllers that a connection closed."""
     if ctx.is_agent:
         ctx.coordinator.on_lost(process, conn.opened, conn.refused)
-    if ctx.me.role != "agent":
+    if ctx.identity.role != "agent":
         ctx.dispatcher.on_lost(process, conn.opened)
     if conn.refused:
         ctx.witness.on_refused(process)
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -32,8 +32,8 @@
 from .model import JobSpec, QueueConfig, RunOutcome
 from .placing import Placing
 from .resources import NO_RESOURCES
-from .run_ends import RunCompletions
-from .shutdown import ends_in_time
+from .run_completions import RunCompletions
+from .shutdown import finishes_before_shutdown
 
 STEP_S = 0.01
 """Seconds between checks of deadlines and refusals, a quarter of the time in which the shortest
@@ -274,7 +274,9 @@
 
     def takes(self, spec: JobSpec) -> bool:
         """Whether a job can be expected to end before this process does."""
-        return ends_in_time(longest_chain_s(spec), self._shutdown_at - self._ctx.clock.now())
+        return finishes_before_shutdown(
+            longest_chain_s(spec), self._shutdown_at - self._ctx.clock.now()
+        )
 
     def shut_down(self, linger_s: float, until: float) -> None:
         """Take what can still end before ``until``, for ``linger_s`` at least, and answer all.
--- a/src/gentianmux/leased/links.py
+++ b/src/gentianmux/leased/links.py
@@ -35,7 +35,7 @@
 SLOWEST_REDIAL_S = 1.0
 """Seconds between tries at an address that has not answered for long."""
 
-SILENT_S = 1.0
+IDLE_TIMEOUT_S = 1.0
 """Seconds without a frame, ten reports or echoes, after which a connection is given up."""
 
 REOPEN_AFTER_S = 0.2
@@ -248,7 +248,7 @@
         """Close connections on which nothing has come for long; they are opened anew."""
         now = self._clock.now()
         for process in list(self._open):
-            if now - self._heard[process] > SILENT_S:
+            if now - self._heard[process] > IDLE_TIMEOUT_S:
                 self.drop(process, f"silent for {now - self._heard[process]:.1f} s")
 
     def send(self, process: str, msg: Message) -> bool:
@@ -259,7 +259,7 @@
         frame = pack_frame(encode(msg), self._key)
         self._metrics.count("frames_out", label=type(msg).__name__)
         self._metrics.count("bytes_out", len(frame))
-        return conn.put(frame)
+        return conn.enqueue(frame)
 
 
 def _expect_hello(frames: Iterator[bytes]) -> Hello:
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -13,7 +13,7 @@
 from .job_state import TASK_BYTES, JobState, TaskState
 from .model import RunOutcome
 from .resources import NO_RESOURCES, Resources
-from .run_ends import RunCompletions
+from .run_completions import RunCompletions
 
 CLAIM_AGAIN_S = 0.02
 """Seconds between tellings of all agents that runs wait: four of the shortest waits for room."""
--- a/src/gentianmux/leased/shutdown.py
+++ b/src/gentianmux/leased/shutdown.py
@@ -10,7 +10,7 @@
 """The longest estimate that a process takes while nobody has told it to stop, in ms."""
 
 
-def ends_in_time(estimate_s: float, left_s: float) -> bool:
+def finishes_before_shutdown(estimate_s: float, left_s: float) -> bool:
     """Whether work can be expected to end before its process does."""
     return estimate_s * ALLOWANCE + SPARE_S < left_s
 
--- a/src/gentianmux/node.py
+++ b/src/gentianmux/node.py
@@ -58,7 +58,7 @@
     Examples
     --------
     >>> node = Node(Settings(role="entry", name="e1"))
-    >>> node.ctx.me.role
+    >>> node.ctx.identity.role
     'entry'
     """
 
@@ -96,7 +96,7 @@
             loops += [ctx.shard_manager.run_leases, ctx.coordinator.run_backlog]
             loops += [ctx.executor.run_renewals]
         self._loops = [gevent.spawn(loop) for loop in loops]
-        logger.info("started as {} on {}", self.ctx.me.role, self.ctx.cfg.peer_address)
+        logger.info("started as {} on {}", self.ctx.identity.role, self.ctx.cfg.peer_address)
 
     def _upkeep(self) -> None:
         while True:
@@ -146,7 +146,7 @@
 
     def _is_empty(self) -> bool:
         ctx = self.ctx
-        if ctx.me.role != "agent" and ctx.dispatcher.inflight:
+        if ctx.identity.role != "agent" and ctx.dispatcher.inflight:
             return False
         if not ctx.is_agent:
             return True
--- a/src/gentianmux/node_context.py
+++ b/src/gentianmux/node_context.py
@@ -34,7 +34,7 @@
     ----------
     cfg : Settings
         The settings.
-    me : Join
+    identity : Join
         How this process announces itself.
     log : PlatformLog
         The platform's log.
@@ -61,7 +61,7 @@
     ) -> None:
         self.cfg = cfg
         self.clock = clock or Clock()
-        self.me = me
+        self.identity = me
         self.log = log
         self.rng = Random(me.process)
         self.config = ConfigState()
@@ -76,12 +76,12 @@
     @property
     def process(self) -> str:
         """Name of this process, with its incarnation."""
-        return self.me.process
+        return self.identity.process
 
     @property
     def is_agent(self) -> bool:
         """Whether this process starts tasks and may own shards."""
-        return self.me.role in ("agent", "standalone")
+        return self.identity.role in ("agent", "standalone")
 
     def shard_of(self, key: str) -> int:
         """The shard that a key belongs to."""
--- a/src/gentianmux/peers.py
+++ b/src/gentianmux/peers.py
@@ -81,7 +81,7 @@
         frame = pack_frame(encode(msg), self._key)
         self._ctx.metrics.count("frames_out", label=type(msg).__name__)
         self._ctx.metrics.count("bytes_out", len(frame))
-        return conn.put(frame)
+        return conn.enqueue(frame)
 
     def is_connected(self, process: str) -> bool:
         """Whether a connection to a process is open or being opened."""
@@ -175,7 +175,7 @@
             logger.bind(code=int(exc.code)).warning("connection closed: {}", exc)
 
     def _hello(self) -> Hello:
-        me = self._ctx.me
+        me = self._ctx.identity
         return Hello(PROTOCOL_VERSION, me.process, me.role, me.address)
 
 
--- a/src/gentianmux/placement.py
+++ b/src/gentianmux/placement.py
@@ -131,7 +131,7 @@
 
     def _weigh(self, join: Join) -> Candidate:
         load = self.loads[join.process].estimate(self._ctx.now())
-        local = join.failure_domain == self._ctx.me.failure_domain
+        local = join.failure_domain == self._ctx.identity.failure_domain
         return Candidate(join.process, join.slots, local, load)
 
     def on_ended(self, agent: str, service: str, code: ResultCode) -> None:
--- a/src/gentianmux/stream_reader.py
+++ b/src/gentianmux/stream_reader.py
@@ -67,7 +67,7 @@
         ctx.membership.learn(ctx.fleet.processes.values(), ctx.now())
         if fresh and ctx.is_agent:
             ctx.shard_manager.on_fleet()
-        if fresh and ctx.me.role != "agent":
+        if fresh and ctx.identity.role != "agent":
             ctx.dispatcher.on_fleet()
 
     # Peers
@@ -120,7 +120,7 @@
         if joined or ctx.draining or ctx.now() - self._announced < ANNOUNCE_AGAIN_S:
             return
         self._announced = ctx.now()
-        ctx.clock.call_soon(self.append, fleet_state.STREAM, to_json(ctx.me))
+        ctx.clock.call_soon(self.append, fleet_state.STREAM, to_json(ctx.identity))
 
     def append(self, stream: str, data: str) -> bool:
         """Append to a stream; false when it is not known whether that took effect."""
