--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -94,7 +94,7 @@
 def members(count: int) -> Membership:
     """A membership that knows so many processes."""
     core = Membership(_member(0), Timing(0.5, 1.5), Random(1))
-    core.learn([_join(number) for number in range(1, count + 1)], 0.0)
+    core.add_joined([_join(number) for number in range(1, count + 1)], 0.0)
     return core
 
 
--- a/bench/leased_world.py
+++ b/bench/leased_world.py
@@ -232,7 +232,7 @@
         self.every(0.02, process, end_when_left)
 
     def _look(self, agent: Agent, driver: FakeDriver) -> None:
-        if agent.looks.endpoint and self.time >= driver.blocked_until:
+        if agent.poller.endpoint and self.time >= driver.blocked_until:
             agent.look()
 
     def start_entry(self, name: str) -> None:
--- a/bench/world.py
+++ b/bench/world.py
@@ -112,7 +112,7 @@
     """What a process thinks of others: right, but some time late."""
 
     isolated = False
-    heard: ClassVar[dict[str, Any]] = {}
+    peer_versions: ClassVar[dict[str, Any]] = {}
 
     def __init__(self, world: "World", process: str) -> None:
         self._world = world
@@ -139,7 +139,7 @@
     def get(self, process: str) -> MemberUpdate | None:
         return None
 
-    def learn(self, joins: Any, now: float) -> None:
+    def add_joined(self, joins: Any, now: float) -> None:
         return
 
     def leave(self) -> None:
--- a/src/gentianmux/conn.py
+++ b/src/gentianmux/conn.py
@@ -85,7 +85,7 @@
             self._plain.close()
 
 
-def receive(sock: Any) -> Iterator[bytes]:
+def iter_received(sock: Any) -> Iterator[bytes]:
     """Yield what arrives until the peer closes."""
     while True:
         data = sock.recv(RECEIVE_BYTES)
@@ -94,7 +94,7 @@
         yield data
 
 
-def tune(sock: Any, unacked_ms: int = UNACKED_TIMEOUT_MS) -> None:
+def set_socket_options(sock: Any, unacked_ms: int = UNACKED_TIMEOUT_MS) -> None:
     """Send without delay and give up on a peer that acknowledges nothing."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacked_ms)
--- a/src/gentianmux/leased/admitting.py
+++ b/src/gentianmux/leased/admitting.py
@@ -18,7 +18,7 @@
 """Seconds a job waits while no agent serves its service at all: a restarted agent needs less."""
 
 
-class Admitting:
+class AdmissionController:
     """Decides the backlog of an entry, service by service.
 
     Parameters
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -112,7 +112,7 @@
             self._on_looked,
             self._on_silence,
         )
-        ctx.looks = EndpointPoller(driver, ctx.table, metrics, clock, ctx.lease_s, hooks)
+        ctx.poller = EndpointPoller(driver, ctx.table, metrics, clock, ctx.lease_s, hooks)
         ctx.reports = EntryReports(links, clock, self._load, ctx.has_runs_of)
         self._chain = ctx.reports.chain
         links.on_open = self._on_open
@@ -132,9 +132,9 @@
         return self._ctx.tracker
 
     @property
-    def looks(self) -> EndpointPoller:
+    def poller(self) -> EndpointPoller:
         """What looks at the endpoint."""
-        return self._ctx.looks
+        return self._ctx.poller
 
     @property
     def table(self) -> RunTable:
@@ -172,9 +172,9 @@
         """Follow another life of the endpoint, or none: what was known of the last one ends."""
         self._ctx.health = EndpointHealth()
         if endpoint:
-            self._ctx.looks.turn_to(endpoint)
+            self._ctx.poller.turn_to(endpoint)
         else:
-            self._ctx.looks.turn_away()
+            self._ctx.poller.turn_away()
         self._ctx.end_all(finished)
 
     def _on_news(self, report: EndpointReport | None) -> None:
@@ -192,7 +192,7 @@
     def run_loops(self) -> list[gevent.Greenlet]:
         """Spawn the loops of this controller."""
         return [
-            gevent.spawn(self._ctx.looks.run),
+            gevent.spawn(self._ctx.poller.run),
             gevent.spawn(run_periodically, 0.0, self._keep_up),
         ]
 
@@ -206,7 +206,7 @@
 
     def look(self) -> bool:
         """Look at the endpoint once, renewing its lease; false when it did not answer."""
-        return self._ctx.looks.look()
+        return self._ctx.poller.look()
 
     def _on_looked(self, finished: list[Finished], clean_changed: bool) -> None:
         """Act on a look: report ends, stop what stands still, offer the room that is free."""
@@ -314,7 +314,7 @@
         entry = hello.process
         held = [RunRef(*run.key) for run in self._ctx.table.of_entry(entry)]
         held += [RunRef(*key) for key in sorted(self._starts.replacing)]
-        self._evacuation_broadcast.greet(entry)
+        self._evacuation_broadcast.send_to(entry)
         self._ctx.links.send(entry, self._state())
         self._ctx.links.send(entry, Holding(self._ctx.reports.applied.get(entry, 0), held))
         self._ctx.reports.resend_ended(entry)
--- a/src/gentianmux/leased/agent_context.py
+++ b/src/gentianmux/leased/agent_context.py
@@ -14,7 +14,7 @@
 from .resources import NO_RESOURCES, Resources
 from .run_table import Finished, RunTable
 from .settings import LeasedSettings, lease_s
-from .shutdown import NO_BOUND_MS, longest_ms
+from .shutdown import UNBOUNDED_ESTIMATE_MS, longest_ms
 
 
 class AgentContext:
@@ -45,12 +45,12 @@
         Whether the process was told to stop.
     leaves_at : float
         When it will then have to have ended.
-    tracker, looks, reports : EndpointTracker, EndpointPoller, EntryReports
+    tracker, poller, reports : EndpointTracker, EndpointPoller, EntryReports
         Set by the agent, whose methods they call.
     """
 
     tracker: EndpointTracker
-    looks: EndpointPoller
+    poller: EndpointPoller
     reports: EntryReports
 
     def __init__(
@@ -89,12 +89,12 @@
     def is_accepting(self) -> bool:
         """Whether new runs may begin here."""
         ready = self.report is not None and not self.report.draining and not self.is_evacuated
-        return ready and self.looks.answering and self.table.is_clean and self.longest_ms() > 0
+        return ready and self.poller.answering and self.table.is_clean and self.longest_ms() > 0
 
     def longest_ms(self) -> int:
         """The longest estimate of a run that may still begin here, in ms."""
         if not self.leaving:
-            return NO_BOUND_MS
+            return UNBOUNDED_ESTIMATE_MS
         return longest_ms(self.leaves_at - self.clock.now())
 
     def offered(self) -> Resources:
--- a/src/gentianmux/leased/endpoint_poller.py
+++ b/src/gentianmux/leased/endpoint_poller.py
@@ -89,7 +89,7 @@
 
     Examples
     --------
-    ``looks.turn_to("i-7f3a91c2")`` and then ``looks.run()`` in a greenlet, or ``looks.look()``.
+    ``poller.turn_to("i-7f3a91c2")`` and then ``poller.run()`` in a greenlet, or ``poller.look()``.
     """
 
     def __init__(
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -18,7 +18,7 @@
     Message,
 )
 from ..metrics import Metrics
-from .admitting import Admitting
+from .admitting import AdmissionController
 from .config_feed import ConfigFeed
 from .config_transfer import ConfigTransfer
 from .entry_context import EntryContext
@@ -30,7 +30,7 @@
 from .job_state import JobOutcome, JobState, longest_chain_s
 from .links import Links
 from .model import JobSpec, QueueConfig, RunOutcome
-from .placing import Placing
+from .placing import Placer
 from .resources import NO_RESOURCES
 from .run_completions import RunCompletions
 from .shutdown import finishes_before_shutdown
@@ -88,8 +88,8 @@
             feed.evacuations, links, self._on_evacuations
         )
         self._ends = RunCompletions(self._ctx)
-        self._admitting = Admitting(self._ctx)
-        self._placer = Placing(self._ctx, self._ends, self._admitting.admissions)
+        self._admitting = AdmissionController(self._ctx)
+        self._placer = Placer(self._ctx, self._ends, self._admitting.admissions)
         self.leaving = False
         self._shutdown_at = float("inf")
         self._idle_since: float | None = None
@@ -217,7 +217,7 @@
 
     def _on_open(self, hello: Hello) -> None:
         # Before anything is assigned there: the agent may have just started.
-        self._evacuation_broadcast.greet(hello.process)
+        self._evacuation_broadcast.send_to(hello.process)
         self._ends.opened_at[hello.process] = self._ctx.clock.now()
         self._ctx.window.forget(hello.process)
         # The connection may have taken the place of a silent one, and the chain be nearly over.
--- a/src/gentianmux/leased/evacuation_broadcast.py
+++ b/src/gentianmux/leased/evacuation_broadcast.py
@@ -24,7 +24,7 @@
 
     Examples
     --------
-    ``sharing.greet("e1.5")`` when a connection opens, ``sharing.take(msg, "e1.5")`` for what comes.
+    ``sharing.send_to("e1.5")`` when a connection opens, ``sharing.take(msg, "e1.5")`` for what comes.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self._act = on_change
         feed.on_change = self._changed
 
-    def greet(self, process: str) -> None:
+    def send_to(self, process: str) -> None:
         """Tell a peer what is known, when its connection has opened."""
         if self._feed.is_known:
             self._tell(process, self._feed.current)
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -10,7 +10,7 @@
 from .entry_leases import ENTRY_LEASE_S, leases_expire_at
 from .model import instance_of
 from .resources import NO_RESOURCES, Resources
-from .shutdown import NO_BOUND_MS
+from .shutdown import UNBOUNDED_ESTIMATE_MS
 
 SILENT_S = ENTRY_LEASE_S - 0.05
 """Seconds without a load report after which an agent gets nothing new: what is assigned later comes
@@ -57,7 +57,7 @@
     failed_until: float = 0.0
     told: Signature = ()
     entries: int = 1
-    longest_ms: int = NO_BOUND_MS
+    longest_ms: int = UNBOUNDED_ESTIMATE_MS
     echoed_at: float = 0.0
     seen: int = 0
 
@@ -97,7 +97,7 @@
     @property
     def is_leaving(self) -> bool:
         """Whether the agent was told to stop: it begins short runs alone."""
-        return self.longest_ms != NO_BOUND_MS
+        return self.longest_ms != UNBOUNDED_ESTIMATE_MS
 
     def is_fresh(self, now: float) -> bool:
         """Whether the agent was heard of lately."""
--- a/src/gentianmux/leased/links.py
+++ b/src/gentianmux/leased/links.py
@@ -11,7 +11,7 @@
 from ..clock import Clock
 from ..codec import decode, encode
 from ..codes import ResultCode
-from ..conn import Conn, receive, run_writer, tune
+from ..conn import Conn, iter_received, run_writer, set_socket_options
 from ..errors import FrameError
 from ..frames import pack_frame, split_frames
 from ..listeners import Listeners
@@ -174,8 +174,8 @@
         self._greet_and_run(sock, dialed=False)
 
     def _greet_and_run(self, sock: Any, dialed: bool) -> None:
-        tune(sock, UNACKED_MS)
-        frames = split_frames(receive(sock), self._key)
+        set_socket_options(sock, UNACKED_MS)
+        frames = split_frames(iter_received(sock), self._key)
         try:
             with gevent.Timeout(HELLO_S):
                 sock.sendall(pack_frame(encode(self._me), self._key))
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -27,7 +27,7 @@
 model). All together gained no more, and is a longer queue at one agent."""
 
 
-class Placing:
+class Placer:
     """Places the backlog of an entry.
 
     Parameters
--- a/src/gentianmux/leased/run_starts.py
+++ b/src/gentianmux/leased/run_starts.py
@@ -129,7 +129,7 @@
             logger.bind(task=task.name, run=task.run).warning("a start was not answered")
             self._ctx.metrics.count("starts_unanswered")
             self._ctx.table.unanswered(key, now)
-            self._ctx.looks.look_now()
+            self._ctx.poller.look_now()
             self._stops.stop_due()
             return
         logger.bind(task=task.name, run=task.run, verdict=verdict.value).warning("start refused")
--- a/src/gentianmux/leased/run_stops.py
+++ b/src/gentianmux/leased/run_stops.py
@@ -38,7 +38,7 @@
         if self._ctx.driver.stop(*key):
             self._ctx.table.stop_confirmed(key, self._ctx.clock.now())
             if key in self._ctx.table.runs and self._ctx.table.runs[key].stop_why.never_ran:
-                self._ctx.looks.look_now()
+                self._ctx.poller.look_now()
 
     def stop_unechoed(self) -> None:
         """Stop the runs of entries that no longer echo.
--- a/src/gentianmux/leased/shutdown.py
+++ b/src/gentianmux/leased/shutdown.py
@@ -6,7 +6,7 @@
 SPARE_S = 0.2
 """Seconds on top, for placing and answering."""
 
-NO_BOUND_MS = 2**31 - 1
+UNBOUNDED_ESTIMATE_MS = 2**31 - 1
 """The longest estimate that a process takes while nobody has told it to stop, in ms."""
 
 
--- a/src/gentianmux/membership.py
+++ b/src/gentianmux/membership.py
@@ -113,7 +113,7 @@
     def __init__(self, me: MemberUpdate, timing: Timing, rng: Random) -> None:
         self.me = me
         self.versions = Versions(-1, -1)
-        self.heard: dict[str, Versions] = {}
+        self.peer_versions: dict[str, Versions] = {}
         self.on_change: Callable[[MemberUpdate], None] = lambda update: None
         self._timing = timing
         self._rng = rng
@@ -167,7 +167,7 @@
             if each.state == ProcessState.ALIVE and (not role or each.role in (role, "standalone"))
         ]
 
-    def learn(self, joins: Iterable[Join], now: float) -> None:
+    def add_joined(self, joins: Iterable[Join], now: float) -> None:
         """Take in processes that the log names and gossip has not."""
         for join in joins:
             if join.process != self.me.process and join.process not in self._members:
@@ -198,7 +198,7 @@
         first_contact = gossip.sender not in self._members
         for update in gossip.updates:
             self._merge(update, now)
-        self.heard[gossip.sender] = Versions(gossip.config_version, gossip.fleet_version)
+        self.peer_versions[gossip.sender] = Versions(gossip.config_version, gossip.fleet_version)
         if gossip.kind == Kind.PROBE:
             return self._answer_probe(gossip, address, first_contact)
         if gossip.kind == Kind.PROBE_FOR:
@@ -283,7 +283,7 @@
     def _forget(self, process: str) -> None:
         del self._members[process]
         self._dead.discard(process)
-        self.heard.pop(process, None)
+        self.peer_versions.pop(process, None)
 
     def _next_target(self) -> str | None:
         while True:
--- a/src/gentianmux/peers.py
+++ b/src/gentianmux/peers.py
@@ -11,7 +11,7 @@
 
 from .codec import decode, encode
 from .codes import ResultCode
-from .conn import Conn, receive, run_writer, tune
+from .conn import Conn, iter_received, run_writer, set_socket_options
 from .errors import FrameError
 from .frames import pack_frame, split_frames
 from .messages import PROTOCOL_VERSION, Hello, Message
@@ -114,9 +114,9 @@
         except OSError as exc:
             conn.refused = exc.errno == errno.ECONNREFUSED
             return None
-        tune(sock)
+        set_socket_options(sock)
         conn.sock = sock
-        frames = split_frames(receive(sock), self._key)
+        frames = split_frames(iter_received(sock), self._key)
         try:
             with gevent.Timeout(HELLO_TIMEOUT_S):
                 sock.sendall(pack_frame(encode(self._hello()), self._key))
@@ -128,8 +128,8 @@
         return None if conn.refused else frames
 
     def _serve(self, sock: Any, _address: object) -> None:
-        tune(sock)
-        frames = split_frames(receive(sock), self._key)
+        set_socket_options(sock)
+        frames = split_frames(iter_received(sock), self._key)
         conn = Conn("", "")
         conn.sock = sock
         self._open.add(conn)
--- a/src/gentianmux/stream_reader.py
+++ b/src/gentianmux/stream_reader.py
@@ -64,7 +64,7 @@
         ctx = self._ctx
         config, fleet = self.followers.values()
         ctx.membership.versions = Versions(config.next_offset - 1, fleet.next_offset - 1)
-        ctx.membership.learn(ctx.fleet.processes.values(), ctx.now())
+        ctx.membership.add_joined(ctx.fleet.processes.values(), ctx.now())
         if fresh and ctx.is_agent:
             ctx.shard_manager.on_fleet()
         if fresh and ctx.identity.role != "agent":
@@ -73,11 +73,13 @@
     # Peers
 
     def _has_source(self) -> bool:
-        return any(self._ctx.membership.is_alive(each) for each in self._ctx.membership.heard)
+        return any(
+            self._ctx.membership.is_alive(each) for each in self._ctx.membership.peer_versions
+        )
 
     def pull(self) -> None:
         """Ask a peer that is ahead for what this process has not read."""
-        heard = self._ctx.membership.heard
+        heard = self._ctx.membership.peer_versions
         for number, (stream, follower) in enumerate(self.followers.items()):
             ahead = [
                 process
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -202,7 +202,7 @@
     # A look that met silence takes 0.24 s; the next heartbeat comes 0.45 s from here.
     world.run(0.3)
     assert agent.report is None
-    assert agent.looks.answering
+    assert agent.poller.answering
     assert not agent.is_accepting
     world.run(0.6)
     assert agent.is_accepting
