--- a/bench/leased_world.py
+++ b/bench/leased_world.py
@@ -233,7 +233,7 @@
 
     def _look(self, agent: Agent, driver: FakeDriver) -> None:
         if agent.poller.endpoint and self.time >= driver.blocked_until:
-            agent.look()
+            agent.poll()
 
     def start_entry(self, name: str) -> None:
         """Start an entry's process."""
--- a/bench/world.py
+++ b/bench/world.py
@@ -101,7 +101,7 @@
         self._world.deliver(self._process, process, msg)
         return True
 
-    def knock(self, process: str) -> None:
+    def ensure_connected(self, process: str) -> None:
         self._world.deliver(self._process, process, None)
 
     def is_connected(self, process: str) -> bool:
--- a/src/gentianmux/dispatcher.py
+++ b/src/gentianmux/dispatcher.py
@@ -129,7 +129,7 @@
             return
         pending.fut.set(msg)
 
-    def on_fleet(self) -> None:
+    def on_fleet_change(self) -> None:
         """Wake those who wait for a process that no longer owns their shard."""
         for pending in list(self._pending.values()):
             if self._ctx.fleet.shards[pending.shard].owner != pending.owner:
--- a/src/gentianmux/handlers.py
+++ b/src/gentianmux/handlers.py
@@ -177,4 +177,4 @@
     if conn.refused:
         ctx.witness.on_refused(process)
     elif conn.opened:
-        ctx.peers.knock(process)
+        ctx.peers.ensure_connected(process)
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -204,9 +204,9 @@
             UPKEEP_S if self._ctx.table.runs or self._ctx.table.foreign else REPORT_INTERVAL_S
         )
 
-    def look(self) -> bool:
+    def poll(self) -> bool:
         """Look at the endpoint once, renewing its lease; false when it did not answer."""
-        return self._ctx.poller.look()
+        return self._ctx.poller.poll()
 
     def _on_looked(self, finished: list[Finished], clean_changed: bool) -> None:
         """Act on a look: report ends, stop what stands still, offer the room that is free."""
@@ -287,7 +287,7 @@
 
     @on_message.register
     def _(self, msg: ConfigWanted, entry: str) -> None:
-        self._config_transfer.wanted(msg, entry)
+        self._config_transfer.on_wanted(msg, entry)
 
     @on_message.register
     def _(self, msg: ConfigPiece, entry: str) -> None:
--- a/src/gentianmux/leased/config_transfer.py
+++ b/src/gentianmux/leased/config_transfer.py
@@ -53,7 +53,7 @@
     Examples
     --------
     ``handing.on_version("e1.5", 7)`` when a peer says that it has version 7;
-    ``handing.wanted(msg, "e1.5")`` and ``handing.take(msg, "e1.5")`` for what it sends.
+    ``handing.on_wanted(msg, "e1.5")`` and ``handing.take(msg, "e1.5")`` for what it sends.
     """
 
     def __init__(self, feed: ConfigFeed, links: Links, clock: Clock) -> None:
@@ -105,7 +105,7 @@
             return
         self._feed.offered(raw, f"peer {process}")
 
-    def wanted(self, msg: ConfigWanted, process: str) -> None:
+    def on_wanted(self, msg: ConfigWanted, process: str) -> None:
         """Give a peer the piece that it asks for, in its turn."""
         self._asked = deque(each for each in self._asked if each[0] != process)
         offset = msg.offset if msg.version == self._feed.version else 0
--- a/src/gentianmux/leased/endpoint_poller.py
+++ b/src/gentianmux/leased/endpoint_poller.py
@@ -89,7 +89,7 @@
 
     Examples
     --------
-    ``poller.turn_to("i-7f3a91c2")`` and then ``poller.run()`` in a greenlet, or ``poller.look()``.
+    ``poller.turn_to("i-7f3a91c2")`` and then ``poller.run()`` in a greenlet, or ``poller.poll()``.
     """
 
     def __init__(
@@ -133,10 +133,10 @@
 
     def _look_or_pause(self) -> None:
         self._attached.wait()
-        if not self.look():
+        if not self.poll():
             gevent.sleep(SILENCE_PAUSE_S)
 
-    def look(self) -> bool:
+    def poll(self) -> bool:
         """Look at the endpoint once, renewing its lease; false when it did not answer."""
         self._hooks.before()
         clean = self._table.is_clean
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -18,7 +18,7 @@
     Message,
 )
 from ..metrics import Metrics
-from .admitting import AdmissionController
+from .admission_controller import AdmissionController
 from .config_feed import ConfigFeed
 from .config_transfer import ConfigTransfer
 from .entry_context import EntryContext
@@ -199,7 +199,7 @@
 
     @on_message.register
     def _(self, msg: ConfigWanted, agent: str) -> None:
-        self._config_transfer.wanted(msg, agent)
+        self._config_transfer.on_wanted(msg, agent)
 
     @on_message.register
     def _(self, msg: ConfigPiece, agent: str) -> None:
--- a/src/gentianmux/peers.py
+++ b/src/gentianmux/peers.py
@@ -87,7 +87,7 @@
         """Whether a connection to a process is open or being opened."""
         return process in self._conns
 
-    def knock(self, process: str) -> None:
+    def ensure_connected(self, process: str) -> None:
         """Connect to a process if there is no connection, to learn whether it is there."""
         if process != self._ctx.process and process not in self._conns:
             self._dial(process)
--- a/src/gentianmux/shard_manager.py
+++ b/src/gentianmux/shard_manager.py
@@ -101,7 +101,7 @@
 
     # What the log says
 
-    def on_fleet(self) -> None:
+    def on_fleet_change(self) -> None:
         """Follow the shard table after new records were folded."""
         me, now = self._ctx.process, self._ctx.now()
         for number, row in enumerate(self._ctx.fleet.shards):
--- a/src/gentianmux/stream_reader.py
+++ b/src/gentianmux/stream_reader.py
@@ -66,9 +66,9 @@
         ctx.membership.versions = Versions(config.next_offset - 1, fleet.next_offset - 1)
         ctx.membership.add_joined(ctx.fleet.processes.values(), ctx.now())
         if fresh and ctx.is_agent:
-            ctx.shard_manager.on_fleet()
+            ctx.shard_manager.on_fleet_change()
         if fresh and ctx.identity.role != "agent":
-            ctx.dispatcher.on_fleet()
+            ctx.dispatcher.on_fleet_change()
 
     # Peers
 
--- a/src/gentianmux/witness.py
+++ b/src/gentianmux/witness.py
@@ -36,7 +36,7 @@
         if update.state in (ProcessState.SUSPECT, ProcessState.DEAD) and self._is_chosen(
             update.process
         ):
-            self._ctx.peers.knock(update.process)
+            self._ctx.peers.ensure_connected(update.process)
 
     def on_refused(self, process: str) -> None:
         """Append that a process has ended: its heirs at once, chosen witnesses a moment later."""
@@ -66,7 +66,7 @@
             if self._ctx.membership.state_of(process) is ProcessState.DEAD and self._is_chosen(
                 process
             ):
-                self._ctx.peers.knock(process)
+                self._ctx.peers.ensure_connected(process)
 
     def _is_chosen(self, process: str) -> bool:
         live = [each.process for each in self._ctx.membership.alive()]
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -265,7 +265,7 @@
 
     def look_meanwhile(report: EndpointReport) -> bool | None:
         for _ in range(3):
-            agent.look()
+            agent.poll()
         return is_present(report)
 
     with pytest.MonkeyPatch.context() as patch:
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -438,7 +438,7 @@
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(agent._ctx.driver, "hold", hold)
-        agent.look()
+        agent.poll()
     assert agent.table.acknowledged == 0
     job = world.submit("e0", tasks=4, run_s=0.2)
     world.run(1.0)
