--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -33,7 +33,7 @@
     TaskResult,
 )
 from gentianmux.platform_log import Record
-from gentianmux.routing import choose
+from gentianmux.routing import choose_agents
 from gentianmux.start_records import StartRecords
 
 RESULT = ROOT / "bench" / "results" / "capacity.json"
@@ -143,7 +143,7 @@
         batch = StartBatch(
             f"steppe/{number:036}", 0, 1, "steppe", "intake", -1, -1, False, 0, 0, tasks
         )
-        offer = made.offer(batch, "a.1", 0.0, 0)
+        offer = made.accept_batch(batch, "a.1", 0.0, 0)
         assert offer.job is not None
         made.begin(offer.job, offer.queued[0], 0.0)
         made.finish(offer.job, offer.queued[0], TaskResult(0, 0, 0, "o" * 60, 0.0, 1.0))
@@ -170,7 +170,7 @@
     placement = node.ctx.placement
 
     def once() -> None:
-        chosen = choose(20, placement.candidates("s", 20), node.ctx.rng)
+        chosen = choose_agents(20, placement.candidates("s", 20), node.ctx.rng)
         assert len(chosen) == 20
 
     return micros(once, 30, 20)
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -20,7 +20,7 @@
 from gentianmux.ids import NO_TIME
 from gentianmux.job import Job
 from gentianmux.messages import Submit, Task
-from gentianmux.routing import Candidate, choose
+from gentianmux.routing import Candidate, choose_agents
 
 AGENTS = 10
 SLOTS = 8
@@ -93,14 +93,16 @@
     wasted: float
 
 
-def measure(jobs: list[Arrival], chooser: Chooser = choose, declared: float = 1.0) -> Measured:
+def measure(
+    jobs: list[Arrival], chooser: Chooser = choose_agents, declared: float = 1.0
+) -> Measured:
     """Run jobs through the real decision code.
 
     ``declared`` is the factor by which declared sizes are off; 0 declares none.
     """
-    placement.choose = chooser
+    placement.choose_agents = chooser
     late_binding = Job.is_short
-    if chooser is not choose:
+    if chooser is not choose_agents:
         # The baselines queue at agents, as tasks declared short do.
         Job.is_short = property(lambda self: True)  # type: ignore[method-assign, assignment]
     world = Timed(AGENTS, cfg=CFG, latency_s=(ONE_WAY_S, ONE_WAY_S))
@@ -109,7 +111,7 @@
         msg = _submission(number, job, declared)
         world.at(job.at - world.time, "", world.entries["e0"].submit, msg)
     world.run(jobs[-1].at + 60)
-    placement.choose, Job.is_short = choose, late_binding  # type: ignore[method-assign]
+    placement.choose_agents, Job.is_short = choose_agents, late_binding  # type: ignore[method-assign]
     done = {given.key: given.at for given in world.answers if given.complete}
     missing = len(jobs) - len(done)
     assert not missing, f"{missing} jobs are not complete"
@@ -146,11 +148,11 @@
 
 def least_outstanding(count: int, found: Iterable[Candidate], rng: Random, *_: Any) -> list[str]:
     """Baseline: the least loaded at once, however full, with nothing held back."""
-    return choose(count, found, rng, 1e9)
+    return choose_agents(count, found, rng, 1e9)
 
 
 CHOOSERS: dict[str, Callable[[], Chooser]] = {
-    "gentianmux": lambda: choose,
+    "gentianmux": lambda: choose_agents,
     "least outstanding": lambda: least_outstanding,
     "round robin": RoundRobin,
     "random": lambda: at_random,
--- a/src/gentianmux/api_client.py
+++ b/src/gentianmux/api_client.py
@@ -9,7 +9,7 @@
 
 from .codes import ResultCode
 from .errors import GentianmuxError
-from .http_errors import CALL_FAILED
+from .http_errors import HTTP_CALL_ERRORS
 
 
 class ApiReply(NamedTuple):
@@ -63,7 +63,7 @@
         try:
             response = self._client.request(method, path, body=body, headers=headers or {})
             content = json.loads(response.read() or b"{}")
-        except CALL_FAILED as exc:
+        except HTTP_CALL_ERRORS as exc:
             raise GentianmuxError(ResultCode.PEER_LOST, f"{type(exc).__name__}: {exc}") from exc
         return ApiReply(response.status_code, content)
 
--- a/src/gentianmux/endpoint_client.py
+++ b/src/gentianmux/endpoint_client.py
@@ -7,7 +7,7 @@
 from geventhttpclient import HTTPClient
 
 from .codes import ResultCode
-from .http_errors import CALL_FAILED
+from .http_errors import HTTP_CALL_ERRORS
 from .messages import Task
 from .settings import Settings
 from .start_records import JobRecord
@@ -89,7 +89,7 @@
             return Run(ResultCode.TASK_UNKNOWN, "no answer in time")
         except ConnectionRefusedError:
             return Run(ResultCode.ENDPOINT_REFUSED, "nothing listens at the endpoint")
-        except CALL_FAILED as exc:
+        except HTTP_CALL_ERRORS as exc:
             return Run(ResultCode.TASK_UNKNOWN, type(exc).__name__)
 
     def renew(self, names: list[str]) -> None:
@@ -113,7 +113,7 @@
         try:
             with gevent.Timeout(CONTROL_TIMEOUT_S):
                 return dict(json.loads(self._control.get("/v1/usage").read()))
-        except CALL_FAILED:
+        except HTTP_CALL_ERRORS:
             return {}
 
     def _call(self, path: str, content: dict[str, Any]) -> bool:
@@ -122,7 +122,7 @@
                 response = self._control.post(path, body=json.dumps(content).encode())
                 response.read()
                 return int(response.status_code) == 200
-        except CALL_FAILED:
+        except HTTP_CALL_ERRORS:
             return False
 
 
--- a/src/gentianmux/executor.py
+++ b/src/gentianmux/executor.py
@@ -77,15 +77,15 @@
     def on_batch(self, batch: StartBatch, sender: str) -> None:
         """Take in a job's share of tasks."""
         ctx = self._ctx
-        offer = self.records.offer(batch, sender, ctx.now(), ctx.now_ms())
+        offer = self.records.accept_batch(batch, sender, ctx.now(), ctx.now_ms())
         if offer.refused:
             self._send(sender, batch.key, batch.epoch, offer.refused)
         if offer.job is None:
             return
-        held = batch.how == StartHow.OFFERED and batch.offer in self._offers
+        held = batch.how == StartHow.OFFERED and batch.accept_batch in self._offers
         for record in offer.queued:
             self._admit(offer.job, record, batch.how, held)
-        self._end_offer(batch.offer)
+        self._end_offer(batch.accept_batch)
         self._pump()
         # What was handed back is wanted elsewhere, whatever else of the job runs on here.
         self._flush(offer.job, at_once=True)
@@ -294,9 +294,9 @@
         return min(longest_s, max(0.001, (job.deadline_ms - self._ctx.now_ms()) / 1000))
 
     def _flush(self, job: JobRecord, at_once: bool = False) -> None:
-        if not job.unsent or (job.open and not job.eager and not at_once):
+        if not job.unsent or (job.open_count and not job.eager and not at_once):
             return
-        if job.open and not at_once:
+        if job.open_count and not at_once:
             self._flush_later(job)
             return
         results, job.unsent = job.unsent, []
--- a/src/gentianmux/http_errors.py
+++ b/src/gentianmux/http_errors.py
@@ -3,4 +3,9 @@
 import gevent
 from geventhttpclient.response import HTTPParseError
 
-CALL_FAILED: tuple[type[BaseException], ...] = (gevent.Timeout, OSError, ValueError, HTTPParseError)
+HTTP_CALL_ERRORS: tuple[type[BaseException], ...] = (
+    gevent.Timeout,
+    OSError,
+    ValueError,
+    HTTPParseError,
+)
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -152,11 +152,11 @@
         if self.report is report and report.draining:
             self._watch.move_what_cannot_end(report.drain_remaining_s)
 
-    def on_unreadable(self, endpoint: str, reason: str) -> None:
+    def on_unreadable_heartbeat(self, endpoint: str, reason: str) -> None:
         """Pass over a heartbeat that says nothing usable."""
         self._ctx.tracker.unreadable(endpoint, reason)
 
-    def on_left(self, endpoint: str, born: int = 0) -> None:
+    def on_shutdown_notice(self, endpoint: str, born: int = 0) -> None:
         """Take in an endpoint's word that it ends; ``born`` is 0 where its start is not told."""
         self._follow(self._ctx.tracker.farewell, endpoint, born)
 
--- a/src/gentianmux/leased/entry_context.py
+++ b/src/gentianmux/leased/entry_context.py
@@ -8,7 +8,7 @@
 from ..messages import Claim, LoadEcho, RunRef, Withdraw
 from ..metrics import Metrics
 from .backlog import Backlog
-from .claiming import claims_of, signature
+from .claims import claims_of, signature
 from .config_feed import ConfigFeed
 from .fleet_view import AgentView, FleetView
 from .job_handle import JobHandle, JobResult
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from ..messages import AgentLoad, EndpointState
-from .claiming import Signature
+from .claims import Signature
 from .entry_leases import ENTRY_LEASE_S, leases_expire_at
 from .model import instance_of
 from .resources import NO_RESOURCES, Resources
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -7,7 +7,7 @@
 from ..messages import Assign, LeasedTask
 from .admission import Admission
 from .candidates import Candidates
-from .claiming import signature
+from .claims import signature
 from .entry_context import EntryContext
 from .fleet_view import AgentView, Wish
 from .job_state import TASK_BYTES, JobState, TaskState
--- a/src/gentianmux/leased/run_starts.py
+++ b/src/gentianmux/leased/run_starts.py
@@ -8,7 +8,7 @@
 from .resources import Resources
 from .run_stops import RunStops
 from .run_table import RunKey
-from .withdrawn import WithdrawnRuns
+from .withdrawn_runs import WithdrawnRuns
 
 REPLACE_S = 0.8
 """Seconds that a run waits for an earlier run of its task to be gone, a lease and a stop."""
--- a/src/gentianmux/log_client.py
+++ b/src/gentianmux/log_client.py
@@ -10,7 +10,7 @@
 
 from .codes import ResultCode
 from .errors import LogError
-from .http_errors import CALL_FAILED
+from .http_errors import HTTP_CALL_ERRORS
 from .platform_log import DEFAULT_READ_LIMIT, Record
 
 
@@ -58,7 +58,7 @@
             with gevent.Timeout(self._timeout_s):
                 response = self._client.request(method, path, body=body)
                 content = json.loads(response.read() or b"{}")
-        except CALL_FAILED as exc:
+        except HTTP_CALL_ERRORS as exc:
             raise LogError(ResultCode.LOG_UNAVAILABLE, type(exc).__name__) from exc
         if response.status_code in expected:
             return dict(content)
--- a/src/gentianmux/placement.py
+++ b/src/gentianmux/placement.py
@@ -8,7 +8,7 @@
 from .job import Job
 from .messages import Decline, Offer, Reserve, StartBatch, StartHow
 from .node_context import NodeContext
-from .routing import QUEUE_PER_SLOT, AgentHealth, AgentLoad, Candidate, choose, reserve_at
+from .routing import QUEUE_PER_SLOT, AgentHealth, AgentLoad, Candidate, choose_agents, reserve_at
 from .rules import WorkerItem
 from .submission import Size, TaskSpec, fits, needs_of
 
@@ -151,7 +151,7 @@
         # Binding late costs a round trip a task, which pays only for tasks that last much longer.
         how = StartHow.QUEUE if job.is_short else StartHow.BOUNCE
         queue_per_slot = SHORT_QUEUE_PER_SLOT if job.is_short else QUEUE_PER_SLOT
-        agents = choose(len(job.waiting), willing, self._ctx.rng, queue_per_slot)
+        agents = choose_agents(len(job.waiting), willing, self._ctx.rng, queue_per_slot)
         shares = job.take_waiting(agents)
         if job.waiting:
             self.backlog[job.key] = job
--- a/src/gentianmux/platform/endpoint.py
+++ b/src/gentianmux/platform/endpoint.py
@@ -116,7 +116,7 @@
     """
 
     def __init__(self, address: str, stop_s: float) -> None:
-        self._looks = HttpCaller(address, LOOKS)
+        self._poll_client = HttpCaller(address, LOOKS)
         self._orders = HttpCaller(address, ORDERS)
         self._stop_s = stop_s
         self._headers: dict[str, str] = {}
@@ -154,7 +154,7 @@
         body = json.dumps({"fence": fence, "acknowledged": 0, "wait_ms": 0}).encode()
         try:
             # It renews and acknowledges nothing; only who answers counts.
-            reply = self._looks.call("POST", "/v1/hold", body, START_S, headers)
+            reply = self._poll_client.call("POST", "/v1/hold", body, START_S, headers)
             if reply.status == REPLACED:
                 return False
             if reply.status != 200:
@@ -211,7 +211,7 @@
         content: dict[str, Any] = {"acknowledged": acknowledged, "wait_ms": int(wait_s * 1000)}
         if lease_s:
             content["until_ms"] = self._until(lease_s, asked_at)
-        reply = self._call(self._looks, "/v1/hold", content, timeout_s)
+        reply = self._call(self._poll_client, "/v1/hold", content, timeout_s)
         if reply.status == REPLACED:
             raise EndpointGone
         if reply.status == 409:
@@ -240,7 +240,7 @@
         meanwhile, its clock may be lower than a fence that it has seen.
         """
         content = {"acknowledged": 0, "wait_ms": 0}
-        reply = self._call(self._looks, "/v1/hold", content, START_S)
+        reply = self._call(self._poll_client, "/v1/hold", content, START_S)
         if reply.status == REPLACED:
             raise EndpointGone
         if not self._clock_ms:
--- a/src/gentianmux/platform/heartbeats.py
+++ b/src/gentianmux/platform/heartbeats.py
@@ -41,11 +41,11 @@
         try:
             body = read_body(environ, self._cfg)
             if call == "deregister":
-                self._agent.on_left(endpoint, decode_shutdown_notice(body))
+                self._agent.on_shutdown_notice(endpoint, decode_shutdown_notice(body))
                 return "200 OK"
             report = decode_heartbeat(endpoint, read_object(body), self._endpoint_address)
         except (GentianmuxError, ValueError) as exc:
-            self._agent.on_unreadable(endpoint, str(exc))
+            self._agent.on_unreadable_heartbeat(endpoint, str(exc))
             return "400 Bad Request"
         self._agent.on_report(report)
         return "200 OK"
--- a/src/gentianmux/platform/http_client.py
+++ b/src/gentianmux/platform/http_client.py
@@ -9,7 +9,7 @@
 from geventhttpclient import HTTPClient
 from geventhttpclient.connectionpool import ConnectionPool
 
-from ..http_errors import CALL_FAILED
+from ..http_errors import HTTP_CALL_ERRORS
 from ..leased.model import NoAnswer
 from ..typed_json import read_object
 
@@ -83,7 +83,7 @@
             with timeout:
                 response = self._client.request(method, path, body=body, headers=headers or {})
                 reply = HttpReply(response.status_code, bytes(response.read()))
-        except CALL_FAILED as exc:
+        except HTTP_CALL_ERRORS as exc:
             if isinstance(exc, gevent.Timeout) and exc is not timeout:
                 raise
             self._doubt(began)
--- a/src/gentianmux/routing.py
+++ b/src/gentianmux/routing.py
@@ -103,7 +103,7 @@
     load: float
 
 
-def choose(
+def choose_agents(
     count: int, candidates: Iterable[Candidate], rng: Random, queue_per_slot: float = QUEUE_PER_SLOT
 ) -> list[str]:
     """Choose a process for each of ``count`` tasks, least loaded first.
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -285,7 +285,7 @@
     world.run(1.5)
     job = world.submit("e0", tasks=6, run_s=0.5)
     world.run(0.1)
-    agent_of(world).on_left(earlier.name, earlier.born if told else 0)
+    agent_of(world).on_shutdown_notice(earlier.name, earlier.born if told else 0)
     world.run(1.0)
     assert outcome(job) is JobOutcome.COMPLETED
     assert world.starts == 6
@@ -305,7 +305,7 @@
     job = world.submit("e0", tasks=8, run_s=0.5)
     while not machine.endpoint.active:
         world.run(0.001)
-    agent.on_left(earlier.name, earlier.born)
+    agent.on_shutdown_notice(earlier.name, earlier.born)
     world.run(3.0)
     assert outcome(job) is JobOutcome.COMPLETED
     assert_kept(world)
@@ -314,7 +314,7 @@
 def test_the_farewell_of_the_present_life_is_believed() -> None:
     world = ready_world(agents=1)
     endpoint = world.machines["w0"].endpoint
-    agent_of(world).on_left(endpoint.name, endpoint.born)
+    agent_of(world).on_shutdown_notice(endpoint.name, endpoint.born)
     assert agent_of(world).report is None
     endpoint.up = False
     world.run(0.1)
@@ -376,7 +376,9 @@
     elif what == 1:
         machine.endpoint.draining = True
     elif what == 2 and machine.endpoint.draining and machine.endpoint.up:
-        agent_of(world, machine.name).on_left(machine.endpoint.name, machine.endpoint.born)
+        agent_of(world, machine.name).on_shutdown_notice(
+            machine.endpoint.name, machine.endpoint.born
+        )
         world.replace_endpoint(machine.name)
     else:
         _disturb(world, rng)
@@ -388,7 +390,7 @@
     """Let the last words of an earlier life arrive, unless nobody is there to take them."""
     if world.process_of(name) in world.alive:
         agent_of(world, name).on_report(report)
-        agent_of(world, name).on_left(*farewell)
+        agent_of(world, name).on_shutdown_notice(*farewell)
 
 
 # The account of runs
@@ -486,7 +488,7 @@
         driver = PlatformEndpoint(address, 0.05)
         driver.attach(report_of(earlier))
         driver.hold(0, 0.0, 0.5, 1.0)
-        driver._looks = PlatformEndpoint(other, 0.05)._looks
+        driver._poll_client = PlatformEndpoint(other, 0.05)._poll_client
         assert driver.is_present(report_of(later)) is True
         assert driver.is_present(report_of(earlier)) is False
         assert later.fence == 0
@@ -591,7 +593,7 @@
     world.restart_endpoint("w0", down_s=0.1)
     world.run(1.0)
     again = world.machines["w0"].endpoint
-    agent_of(world).on_left(again.name, again.born)
+    agent_of(world).on_shutdown_notice(again.name, again.born)
     assert announced == [(endpoint.born, True), (again.born, False), None]
 
 
--- a/tests/test_foreign_records.py
+++ b/tests/test_foreign_records.py
@@ -191,7 +191,7 @@
     rng = Random(5)
     for number in range(60):
         writer = rng.choice([known.endpoint, f"foreign-{number % 4}"])
-        agent.on_unreadable(writer, "seq is no whole number")
+        agent.on_unreadable_heartbeat(writer, "seq is no whole number")
     agent.on_report(known._replace(service="of-nobody", sequence=10**9))
     assert agent.report == known
     assert agent.is_accepting
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -11,7 +11,7 @@
 from bench.leased_world import World
 from bench.scenario import USUAL
 from gentianmux.leased.backlog import Backlog
-from gentianmux.leased.claiming import MAX_CLAIMS, claims_of, signature
+from gentianmux.leased.claims import MAX_CLAIMS, claims_of, signature
 from gentianmux.leased.grants import GRANT_S, LATE_RESERVE, PASS_OVER_S, Grants, split
 from gentianmux.leased.job_state import JobState, Prospect
 from gentianmux.leased.model import JobSpec, QueueConfig, StepSpec
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -18,7 +18,7 @@
 from gentianmux.member_claims import SETTLE_S, Claims, split_claim
 from gentianmux.messages import Task
 from gentianmux.platform_log import Record
-from gentianmux.routing import Candidate, choose, reserve_at
+from gentianmux.routing import Candidate, choose_agents, reserve_at
 from gentianmux.settings import Settings
 
 WORKERS = {f"worker/a{n}": {"failure_domain": "f", "slots": 8} for n in range(4)}
@@ -90,7 +90,7 @@
 @given(st.integers(0, 40), st.integers(1, 30), st.integers(0, 40))
 def test_no_agent_is_filled_beyond_its_slots(count: int, agents: int, load: int) -> None:
     found = [Candidate(f"w{n}", 8, True, min(load, n)) for n in range(agents)]
-    chosen = Counter(choose(count, found, Random(1)))
+    chosen = Counter(choose_agents(count, found, Random(1)))
     assert sum(chosen.values()) <= count
     assert all(each.load + chosen[each.process] <= max(8, each.load) for each in found)
     reserved = reserve_at(count, 0, found, Random(1))
