--- a/src/gentianmux/executor.py
+++ b/src/gentianmux/executor.py
@@ -165,7 +165,9 @@
             gevent.sleep(period_s)
             now = self._ctx.now()
             names = [
-                name for name, (_, record) in self.running.items() if now - record.since > period_s
+                name
+                for name, (_, record) in self.running.items()
+                if now - record.state_since > period_s
             ]
             if names:
                 self._ctx.clock.call_soon(self._endpoint.renew, names)
@@ -276,7 +278,7 @@
 
     def on_ended(self, job: JobRecord, record: TaskRecord, run: Run) -> None:
         """Take in how a task ended."""
-        ran_ms = (self._ctx.now() - record.since) * 1000
+        ran_ms = (self._ctx.now() - record.state_since) * 1000
         result = TaskResult(
             record.task.number, record.attempt, int(run.code), run.output, 0.0, ran_ms
         )
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -25,6 +25,7 @@
 from .agent_context import AgentContext
 from .config_feed import ConfigFeed
 from .config_transfer import ConfigTransfer
+from .endpoint_health import EndpointHealth
 from .endpoint_poller import EndpointPoller, LookHooks
 from .endpoint_tracker import EndpointTracker, TrackerHooks
 from .entry_leases import REPORT_INTERVAL_S
@@ -32,7 +33,6 @@
 from .evacuation_broadcast import EvacuationBroadcast
 from .evacuations import Evacuations
 from .grants import LATE_RESERVE
-from .health import EndpointHealth
 from .links import Links
 from .model import (
     EndpointDriver,
@@ -98,7 +98,7 @@
             feed.evacuations, links, self._on_evacuations
         )
         self._idle_since: float | None = None
-        self.on_endpoint: Callable[[EndpointReport | None], None] = lambda report: None
+        self.on_report_change: Callable[[EndpointReport | None], None] = lambda report: None
         self._stops = RunStops(ctx)
         self._starts = RunStarts(ctx, self._stops)
         self._watch = RunWatch(ctx, self._stops)
@@ -182,7 +182,7 @@
             self._ctx.reports.grants.late_reserve = Resources(
                 int(report.capacity.cpu * LATE_RESERVE)
             )
-        self.on_endpoint(report)
+        self.on_report_change(report)
 
     @property
     def is_accepting(self) -> bool:
--- a/src/gentianmux/leased/agent_context.py
+++ b/src/gentianmux/leased/agent_context.py
@@ -5,10 +5,10 @@
 from ..clock import Clock
 from ..metrics import Metrics
 from .config_feed import ConfigFeed
+from .endpoint_health import EndpointHealth
 from .endpoint_poller import EndpointPoller
 from .endpoint_tracker import EndpointTracker
 from .entry_reports import EntryReports
-from .health import EndpointHealth
 from .links import Links
 from .model import EndpointDriver, EndpointReport, RunOutcome
 from .resources import NO_RESOURCES, Resources
--- a/src/gentianmux/leased/process.py
+++ b/src/gentianmux/leased/process.py
@@ -129,7 +129,7 @@
         stable = None if report is None else report._replace(sequence=0, drain_remaining_s=0.0)
         directory.announce(Announcement(cfg.name, cfg.role, cfg.peer_address, stable))
 
-    agent.on_endpoint = announce
+    agent.on_report_change = announce
     base.links.start()
     base.serve(cfg.http_address, make_app(agent))
     base.serve(cfg.metrics_address, base.metrics_app)
@@ -160,7 +160,7 @@
     if mine and mine[0] is not None:
         agent.on_report(mine[0])
     else:
-        agent.on_endpoint(None)
+        agent.on_report_change(None)
 
 
 def run_entry(base: Process, make_app: Callable[["Entry"], Any], stopping: Event) -> None:
--- a/src/gentianmux/placement.py
+++ b/src/gentianmux/placement.py
@@ -8,7 +8,14 @@
 from .job import Job
 from .messages import Decline, Offer, Reserve, StartBatch, StartHow
 from .node_context import NodeContext
-from .routing import QUEUE_PER_SLOT, AgentHealth, AgentLoad, Candidate, choose_agents, reserve_at
+from .routing import (
+    QUEUE_PER_SLOT,
+    AgentHealth,
+    AgentLoad,
+    Candidate,
+    choose_agents,
+    choose_reservations,
+)
 from .rules import WorkerItem
 from .submission import Size, TaskSpec, fits, needs_of
 
@@ -209,7 +216,9 @@
             job.reserved.clear()
             job.reserved_at = now
         asked = sum(job.reserved.values())
-        for agent, count in reserve_at(len(job.waiting), asked, willing, self._ctx.rng).items():
+        for agent, count in choose_reservations(
+            len(job.waiting), asked, willing, self._ctx.rng
+        ).items():
             job.reserved[agent] = job.reserved.get(agent, 0) + count
             size_ms = job.tasks[job.waiting[0]].spec.size.run_ms
             msg = Reserve(job.key, job.epoch, job.member, job.service, count, size_ms)
--- a/src/gentianmux/platform/endpoint.py
+++ b/src/gentianmux/platform/endpoint.py
@@ -117,7 +117,7 @@
 
     def __init__(self, address: str, stop_s: float) -> None:
         self._poll_client = HttpCaller(address, LOOKS)
-        self._orders = HttpCaller(address, ORDERS)
+        self._command_client = HttpCaller(address, ORDERS)
         self._stop_s = stop_s
         self._headers: dict[str, str] = {}
         self._fence = 0
@@ -176,7 +176,7 @@
         until_ms = self._until(lease_s, asked_at)
         content = {"task": task, "run": run, "spec": payload, "until_ms": until_ms}
         try:
-            reply = self._call(self._orders, "/v1/run-start", content, START_S)
+            reply = self._call(self._command_client, "/v1/run-start", content, START_S)
             if reply.status == 200:
                 return StartResult.STARTED
             if reply.status == REPLACED:
@@ -198,7 +198,7 @@
         """Stop a run, present or still on its way; whether the endpoint confirmed it."""
         try:
             content = {"task": task, "run": run}
-            reply = self._call(self._orders, "/v1/run-stop", content, START_S)
+            reply = self._call(self._command_client, "/v1/run-stop", content, START_S)
         except NoAnswer:
             return False
         return reply.status in (200, REPLACED)
--- a/src/gentianmux/routing.py
+++ b/src/gentianmux/routing.py
@@ -132,7 +132,7 @@
     return list(_fill(count, heap))
 
 
-def reserve_at(
+def choose_reservations(
     waiting: int, asked: int, candidates: list[Candidate], rng: Random
 ) -> dict[str, int]:
     """Where to ask for slots: one reservation a task, and a few for a task that waits alone.
--- a/src/gentianmux/start_records.py
+++ b/src/gentianmux/start_records.py
@@ -28,7 +28,7 @@
         self.epoch = epoch
         self.attempt = task.attempt
         self.state = TaskState.QUEUED
-        self.since = now
+        self.state_since = now
         self.result: TaskResult | None = None
 
 
@@ -134,7 +134,7 @@
         if record.state is not TaskState.QUEUED:
             return False
         record.state = TaskState.STARTED
-        record.since = now
+        record.state_since = now
         return True
 
     def finish(self, job: JobRecord, record: TaskRecord, result: TaskResult) -> None:
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -520,7 +520,7 @@
             return HttpReply(200, b'{"clock_ms": 900000}')
 
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(driver._orders, "call", answer_late)
+            patch.setattr(driver._command_client, "call", answer_late)
             driver.stop("t", 1)
         assert driver._clock_ms == 0.0
 
@@ -587,7 +587,7 @@
     def announce(report: EndpointReport | None) -> None:
         announced.append(None if report is None else (report.born, report.draining))
 
-    agent_of(world).on_endpoint = announce
+    agent_of(world).on_report_change = announce
     endpoint.draining = True
     world.run(0.6)
     world.restart_endpoint("w0", down_s=0.1)
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -19,9 +19,9 @@
     retry_after_s,
     urgency,
 )
+from gentianmux.leased.endpoint_health import FAILED_IN_A_ROW, EndpointHealth
 from gentianmux.leased.entry_leases import ENTRY_LEASE_S, EntryLeases, leases_expire_at
 from gentianmux.leased.fleet_view import LOOKED_AT, FleetView, Wish
-from gentianmux.leased.health import FAILED_IN_A_ROW, EndpointHealth
 from gentianmux.leased.job_state import JobState, Phase, Prospect
 from gentianmux.leased.model import JobSpec, QueueConfig, RunOutcome, StepSpec
 from gentianmux.leased.progress import STALL_S, Progress
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -18,7 +18,7 @@
 from gentianmux.member_claims import SETTLE_S, Claims, split_claim
 from gentianmux.messages import Task
 from gentianmux.platform_log import Record
-from gentianmux.routing import Candidate, choose_agents, reserve_at
+from gentianmux.routing import Candidate, choose_agents, choose_reservations
 from gentianmux.settings import Settings
 
 WORKERS = {f"worker/a{n}": {"failure_domain": "f", "slots": 8} for n in range(4)}
@@ -93,7 +93,7 @@
     chosen = Counter(choose_agents(count, found, Random(1)))
     assert sum(chosen.values()) <= count
     assert all(each.load + chosen[each.process] <= max(8, each.load) for each in found)
-    reserved = reserve_at(count, 0, found, Random(1))
+    reserved = choose_reservations(count, 0, found, Random(1))
     assert sum(reserved.values()) <= max(3, count)
 
 
