--- a/bench/leased_capacity.py
+++ b/bench/leased_capacity.py
@@ -8,7 +8,7 @@
 from time import process_time
 
 from bench.processes import ROOT
-from gentianmux.leased.fleet_view import FleetView, Wish
+from gentianmux.leased.fleet_view import FleetView, PlacementRequest
 from gentianmux.leased.job_state import JobState
 from gentianmux.leased.model import JobSpec, QueueConfig, StepSpec
 from gentianmux.leased.resources import Resources
@@ -40,7 +40,7 @@
 def decision_us(agents: int) -> float:
     """Processor time of placing one job of four tasks, in microseconds, median of rounds."""
     view = fleet(agents)
-    wish = Wish("s", Resources(1600, 64))
+    wish = PlacementRequest("s", Resources(1600, 64))
     took = []
     for _ in range(ROUNDS):
         began = process_time()
--- a/src/gentianmux/caller_api.py
+++ b/src/gentianmux/caller_api.py
@@ -138,7 +138,7 @@
             wait_s > 0,
         )
         ctx.metrics.count("requests")
-        self._limits.enter(member, ctx.now(), len(ctx.membership.alive("entry")))
+        self._limits.acquire(member, ctx.now(), len(ctx.membership.alive("entry")))
         ctx.dispatcher.inflight += 1
         try:
             reply = ctx.dispatcher.submit(msg, wait_s)
--- a/src/gentianmux/coordinator.py
+++ b/src/gentianmux/coordinator.py
@@ -73,7 +73,7 @@
         elif ruling.decision is AdmissionDecision.KEPT:
             self._answer(msg.key, ruling.code, ruling.answer, [waiter])
         elif ruling.decision is AdmissionDecision.ASK:
-            self._ctx.shard_manager.ask_traces(msg, waiter)
+            self._ctx.shard_manager.query_traces(msg, waiter)
         else:
             self._refuse(msg.key, ruling.code, waiter)
 
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -174,7 +174,7 @@
         if endpoint:
             self._ctx.poller.turn_to(endpoint)
         else:
-            self._ctx.poller.turn_away()
+            self._ctx.poller.stop_offering()
         self._ctx.end_all(finished)
 
     def _on_news(self, report: EndpointReport | None) -> None:
@@ -344,7 +344,7 @@
         for entry in self._ctx.links.processes():
             self._ctx.links.send(entry, self._state())
 
-    def turn_away(self, entries: set[str]) -> set[str]:
+    def stop_offering(self, entries: set[str]) -> set[str]:
         """Offer some entries no room any more; those of them that run nothing here."""
         idle = {
             entry for entry in entries & self._ctx.reports.turned_away if not self._serves(entry)
--- a/src/gentianmux/leased/candidates.py
+++ b/src/gentianmux/leased/candidates.py
@@ -7,7 +7,7 @@
 from .resources import Resources
 
 if TYPE_CHECKING:
-    from .fleet_view import AgentView, FleetView, Wish
+    from .fleet_view import AgentView, FleetView, PlacementRequest
 
 _Entry = tuple[int, float, float, int]
 
--- a/src/gentianmux/leased/connecting.py
+++ b/src/gentianmux/leased/connecting.py
@@ -93,7 +93,7 @@
             else:
                 self._links.undial(address)
         surplus = {p for p in self._links.processes() if instance_of(p) not in names}
-        for process in self._agent.turn_away(surplus):
+        for process in self._agent.stop_offering(surplus):
             self._links.drop(process, "other entries are preferred")
 
 
--- a/src/gentianmux/leased/endpoint_poller.py
+++ b/src/gentianmux/leased/endpoint_poller.py
@@ -121,7 +121,7 @@
         self.answering = False
         self._attached.set()
 
-    def turn_away(self) -> None:
+    def stop_offering(self) -> None:
         """Look at nothing until there is another life."""
         self.endpoint = ""
         self.answering = False
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -113,7 +113,7 @@
     until: float
 
 
-class Wish(NamedTuple):
+class PlacementRequest(NamedTuple):
     """What a task asks of an endpoint.
 
     ``avoid`` names lives of endpoints on which it ended badly; ``full`` those that hold all they
@@ -252,7 +252,7 @@
         """How many entries share the agents, this one included."""
         return max((agent.entries for agent in self._some() if agent.is_fresh(now)), default=1)
 
-    def choose(self, wish: Wish, serving: Iterable[AgentView]) -> AgentView | None:
+    def choose(self, wish: PlacementRequest, serving: Iterable[AgentView]) -> AgentView | None:
         """The best of some serving agents for a task; None when none has room for it."""
         agents = list(serving)
         if len(agents) > SAMPLE:
@@ -262,7 +262,7 @@
             return None
         return min(able, key=lambda agent: self._cost(agent, wish))
 
-    def _suits(self, agent: AgentView, wish: Wish) -> bool:
+    def _suits(self, agent: AgentView, wish: PlacementRequest) -> bool:
         state = agent.state
         if state is None or state.incarnation in wish.avoid or state.incarnation in wish.full:
             return False
@@ -272,7 +272,7 @@
             return False
         return agent.free.fits(wish.need)
 
-    def _cost(self, agent: AgentView, wish: Wish) -> tuple[bool, int, float, float]:
+    def _cost(self, agent: AgentView, wish: PlacementRequest) -> tuple[bool, int, float, float]:
         state = agent.state
         far = bool(wish.prefers) and (state is None or wish.prefers not in state.labels)
         return far, *self.weight(agent)
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -9,7 +9,7 @@
 from .candidates import Candidates
 from .claims import signature
 from .entry_context import EntryContext
-from .fleet_view import AgentView, Wish
+from .fleet_view import AgentView, PlacementRequest
 from .job_state import TASK_BYTES, JobState, TaskState
 from .model import RunOutcome
 from .resources import NO_RESOURCES, Resources
@@ -158,9 +158,9 @@
             chosen[agent.process] += 1
         return True
 
-    def _wish(self, job: JobState, task: TaskState, now: float) -> Wish:
+    def _wish(self, job: JobState, task: TaskState, now: float) -> PlacementRequest:
         step = job.step_of(task)
-        return Wish(
+        return PlacementRequest(
             job.queue.service,
             step.need,
             step.requires,
--- a/src/gentianmux/limits.py
+++ b/src/gentianmux/limits.py
@@ -27,7 +27,7 @@
     Examples
     --------
     >>> limits = MemberLimits(Settings(max_inflight=2), ConfigState(), Random(1))
-    >>> limits.enter("steppe", 0.0, entries=1)
+    >>> limits.acquire("steppe", 0.0, entries=1)
     >>> limits.leave("steppe")
     """
 
@@ -39,7 +39,7 @@
         self._total = 0
         self._tokens: dict[str, tuple[float, float]] = {}
 
-    def enter(self, member: str, now: float, entries: int) -> None:
+    def acquire(self, member: str, now: float, entries: int) -> None:
         """Count a request in, or refuse it.
 
         Parameters
--- a/src/gentianmux/shard_manager.py
+++ b/src/gentianmux/shard_manager.py
@@ -91,7 +91,7 @@
         owned = self.owned.get(shard)
         return owned.ledger if owned is not None and owned.epoch == epoch else None
 
-    def ask_traces(self, msg: Submit, waiter: Waiter) -> None:
+    def query_traces(self, msg: Submit, waiter: Waiter) -> None:
         """Ask all agents what they know of an id before it is admitted."""
         self.traces.ask(msg, waiter)
 
--- a/standins/platform_endpoint.py
+++ b/standins/platform_endpoint.py
@@ -68,9 +68,9 @@
         self._ended = Event()
         self._lives = 0
         self._life_of: WeakKeyDictionary[Any, int] = WeakKeyDictionary()
-        self.start_again(CLOCK_START_MS)
+        self.restart(CLOCK_START_MS)
 
-    def start_again(self, clock_start_ms: int = 0) -> None:
+    def restart(self, clock_start_ms: int = 0) -> None:
         """Begin a life under the same id, which holds and knows nothing of an earlier one.
 
         Connections of the earlier one are broken, as by a crash.
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -14,7 +14,7 @@
 from gentianmux.leased.admission import urgency
 from gentianmux.leased.backlog import Backlog
 from gentianmux.leased.candidates import Candidates
-from gentianmux.leased.fleet_view import AgentView, FleetView, Wish
+from gentianmux.leased.fleet_view import AgentView, FleetView, PlacementRequest
 from gentianmux.leased.job_state import JobState, Prospect
 from gentianmux.leased.model import JobSpec, QueueConfig, RunOutcome, StepSpec
 from gentianmux.leased.resources import Resources
@@ -106,7 +106,9 @@
     candidates = Candidates(view, serving)
     for number in range(40):
         avoid = frozenset({"x1", "x4"}) if rng.random() < 0.2 else frozenset()
-        wish = Wish("s", Resources(rng.randrange(400, 5000), 64), avoid=avoid, estimate_ms=100)
+        wish = PlacementRequest(
+            "s", Resources(rng.randrange(400, 5000), 64), avoid=avoid, estimate_ms=100
+        )
         best = view.choose(wish, serving)
         taken = candidates.take(wish)
         assert (taken is None) == (best is None)
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -28,7 +28,7 @@
 from gentianmux.leased.agent import Agent
 from gentianmux.leased.directory import Announcement, decode_announcement
 from gentianmux.leased.endpoint_word import Word, judge
-from gentianmux.leased.fleet_view import Wish
+from gentianmux.leased.fleet_view import PlacementRequest
 from gentianmux.leased.job_state import JobOutcome
 from gentianmux.leased.model import (
     ActiveRun,
@@ -97,7 +97,7 @@
     endpoint = deployment.endpoints["side-0"]
     for number in range(4):
         assert deployment.submit(f"00000000000000a{number}", job_body()) == (200, COMPLETED)
-    endpoint.start_again()
+    endpoint.restart()
     gevent.sleep(0.8)
     before = len(endpoint.starts)
     assert deployment.submit("00000000000000b1", job_body()) == (200, COMPLETED)
@@ -113,7 +113,7 @@
 ) -> None:
     endpoint = deployment.endpoints["side-0"]
     assert deployment.submit("00000000000000c1", job_body()) == (200, COMPLETED)
-    endpoint.start_again(clock_start_ms=1)
+    endpoint.restart(clock_start_ms=1)
     gevent.sleep(0.8)
     assert deployment.submit("00000000000000c2", job_body()) == (200, COMPLETED)
     # The earlier clock began 5 s higher, and so did the fence that the present life has seen.
@@ -457,7 +457,7 @@
 def test_a_look_tells_that_the_endpoint_has_started_again() -> None:
     with attached() as (app, driver):
         gevent.sleep(0.01)
-        app.start_again()
+        app.restart()
         with pytest.raises(NoAnswer):
             driver.hold(0, 0.0, 0.5, 1.0)
         with pytest.raises(EndpointStartedAgain) as caught:
@@ -502,7 +502,7 @@
 
 def test_leases_are_counted_by_the_clock_of_the_present_life() -> None:
     with attached() as (app, driver):
-        app.start_again(clock_start_ms=70)
+        app.restart(clock_start_ms=70)
         driver.attach(report_of(app))
         with pytest.raises(NoAnswer):
             driver.hold(0, 0.0, 0.0, 1.0)
@@ -532,7 +532,7 @@
         earlier = PlatformEndpoint(address, 0.05)
         earlier.attach(report_of(app))
         earlier.hold(0, 0.0, 0.5, 1.0)
-        app.start_again(clock_start_ms=3)
+        app.restart(clock_start_ms=3)
         # Meant for the earlier life: the present one now knows the earlier fence.
         while not earlier.stop("t", 1):
             continue
@@ -573,7 +573,7 @@
     agent = view.agents["a.1"]
     assert agent.state is not None
     agent.state = agent.state._replace(born=100)
-    wish = Wish("s", Resources(1600, 64), avoid=frozenset({agent.state.incarnation}))
+    wish = PlacementRequest("s", Resources(1600, 64), avoid=frozenset({agent.state.incarnation}))
     assert view.choose(wish, view.willing("s", 1.0)) is None
     agent.state = agent.state._replace(born=200)
     assert view.choose(wish, view.willing("s", 1.0)) is agent
--- a/tests/test_leased_neighbours.py
+++ b/tests/test_leased_neighbours.py
@@ -63,7 +63,7 @@
         self.serves: set[str] = set()
         self.turned_away: set[str] = set()
 
-    def turn_away(self, entries: set[str]) -> set[str]:
+    def stop_offering(self, entries: set[str]) -> set[str]:
         idle = {e for e in entries & self.turned_away if e not in self.serves}
         self.turned_away = entries - idle
         return idle
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -21,7 +21,7 @@
 )
 from gentianmux.leased.endpoint_health import FAILED_IN_A_ROW, EndpointHealth
 from gentianmux.leased.entry_leases import ENTRY_LEASE_S, EntryLeases, leases_expire_at
-from gentianmux.leased.fleet_view import LOOKED_AT, FleetView, Wish
+from gentianmux.leased.fleet_view import LOOKED_AT, FleetView, PlacementRequest
 from gentianmux.leased.job_state import JobState, Phase, Prospect
 from gentianmux.leased.model import JobSpec, QueueConfig, RunOutcome, StepSpec
 from gentianmux.leased.progress import STALL_S, Progress
@@ -124,7 +124,7 @@
 
 def test_the_fastest_agent_with_room_is_chosen_and_then_the_emptiest() -> None:
     view = fleet(1.0, {"a": 2000, "b": 9000, "c": 16000}, {"c": 300})
-    wish = Wish("s", Resources(1600, 64))
+    wish = PlacementRequest("s", Resources(1600, 64))
     chosen = view.choose(wish, view.willing("s", 1.0))
     assert chosen is not None
     assert chosen.process == "b.1"
@@ -138,9 +138,9 @@
     view = fleet(1.0, {"a": 3000})
     agent = view.of("a.1")
     agent.reserve(1, Resources(1600, 64))
-    assert view.choose(Wish("s", Resources(1600, 64)), view.willing("s", 1.0)) is None
+    assert view.choose(PlacementRequest("s", Resources(1600, 64)), view.willing("s", 1.0)) is None
     agent.take_load(AgentLoad(2, 1, 3000, 999, 0, 100, 1, 1, 9000), 1.1)
-    assert view.choose(Wish("s", Resources(1600, 64)), view.willing("s", 1.1)) is agent
+    assert view.choose(PlacementRequest("s", Resources(1600, 64)), view.willing("s", 1.1)) is agent
 
 
 def test_a_silent_agent_gets_nothing_and_is_over_only_after_every_lease() -> None:
@@ -336,7 +336,7 @@
     agent = view.of("w1.5")
     agent.state = EndpointState("x", "s", "fd", 16000, 1000, 0, [], True)
     agent.take_load(AgentLoad(1, 0, 16000, 1000, 0, 100, 1, 1, 400), 10.0)
-    wish = Wish("s", Resources(1600, 64), estimate_ms=400)
+    wish = PlacementRequest("s", Resources(1600, 64), estimate_ms=400)
     assert view.choose(wish, view.willing("s", 10.0)) is agent
     assert view.choose(wish._replace(estimate_ms=401), view.willing("s", 10.0)) is None
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -53,12 +53,12 @@
 def test_a_member_takes_at_most_half_of_an_entry() -> None:
     limits = MemberLimits(Settings(max_inflight=10), ConfigState(), Random(1))
     for _ in range(5):
-        limits.enter("greedy", 0.0, 1)
+        limits.acquire("greedy", 0.0, 1)
     with pytest.raises(GentianmuxError) as caught:
-        limits.enter("greedy", 0.0, 1)
+        limits.acquire("greedy", 0.0, 1)
     assert caught.value.code is ResultCode.QUEUE_FULL
     assert caught.value.retry_after_ms > 0
-    limits.enter("modest", 0.0, 1)
+    limits.acquire("modest", 0.0, 1)
 
 
 def test_a_rate_is_split_over_the_entries() -> None:
@@ -68,7 +68,7 @@
     taken = 0
     for tick in range(1000):
         try:
-            limits.enter("m", tick / 100, entries=2)
+            limits.acquire("m", tick / 100, entries=2)
         except GentianmuxError as exc:
             assert exc.code is ResultCode.RATE_LIMITED
         else:
