--- a/bench/leased_capacity.py
+++ b/bench/leased_capacity.py
@@ -40,14 +40,14 @@
 def decision_us(agents: int) -> float:
     """Processor time of placing one job of four tasks, in microseconds, median of rounds."""
     view = fleet(agents)
-    wish = PlacementRequest("s", Resources(1600, 64))
+    request = PlacementRequest("s", Resources(1600, 64))
     took = []
     for _ in range(ROUNDS):
         began = process_time()
         for _ in range(DECISIONS):
             willing = view.willing("s", 1.0)
             for _ in range(4):
-                view.choose(wish, willing)
+                view.choose(request, willing)
         took.append((process_time() - began) / DECISIONS * 1e6)
     return round(median(took), 1)
 
--- a/bench/leased_endpoint.py
+++ b/bench/leased_endpoint.py
@@ -74,7 +74,7 @@
         Whether runs fail at once, calls get no answer, starts are refused.
     lose_looks : float
         Share of looks that are carried out and not answered.
-    lose_answers : int
+    unanswered_calls : int
         Starts that get no answer although they are carried out.
     late_orders : int
         Starts that get no answer and are carried out ``late_by`` seconds later.
@@ -91,7 +91,7 @@
         self.unhealthy = False
         self.draining = False
         self.drain_heard_at: float | None = None
-        self.lose_answers = 0
+        self.unanswered_calls = 0
         self.lose_looks = 0.0
         self.late_orders = 0
         self.late_by = 3.0
@@ -235,8 +235,8 @@
             self._world.at(endpoint.late_by, "", endpoint.begin, *order)
             return StartResult.NO_ANSWER
         verdict = endpoint.begin(task, run, self._fence, until)
-        if endpoint.lose_answers:
-            endpoint.lose_answers -= 1
+        if endpoint.unanswered_calls:
+            endpoint.unanswered_calls -= 1
             return StartResult.NO_ANSWER
         return verdict
 
--- a/src/gentianmux/caller_api.py
+++ b/src/gentianmux/caller_api.py
@@ -144,7 +144,7 @@
             reply = ctx.dispatcher.submit(msg, wait_s)
         finally:
             ctx.dispatcher.inflight -= 1
-            self._limits.leave(member)
+            self._limits.release(member)
         ctx.metrics.count("answers", label=reply.code.label)
         logger.bind(job=msg.key, code=int(reply.code)).info("answered")
         return _to_response(reply, submission.job_id)
--- a/src/gentianmux/coordinator.py
+++ b/src/gentianmux/coordinator.py
@@ -165,7 +165,7 @@
         job.end_waiting(ResultCode.CANCELLED)
         self._ctx.placement.backlog.pop(job.key, None)
         for agent in sorted(job.agents()):
-            self._ctx.shard_manager.revoke_soon(agent, job.key)
+            self._ctx.shard_manager.schedule_revoke(agent, job.key)
         self._finish_if_done(job)
 
     def on_explain(self, msg: Explain, waiter: Waiter) -> None:
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -347,9 +347,9 @@
     def stop_offering(self, entries: set[str]) -> set[str]:
         """Offer some entries no room any more; those of them that run nothing here."""
         idle = {
-            entry for entry in entries & self._ctx.reports.turned_away if not self._serves(entry)
+            entry for entry in entries & self._ctx.reports.not_offered if not self._serves(entry)
         }
-        self._ctx.reports.turned_away = entries - idle
+        self._ctx.reports.not_offered = entries - idle
         return idle
 
     def _serves(self, entry: str) -> bool:
--- a/src/gentianmux/leased/candidates.py
+++ b/src/gentianmux/leased/candidates.py
@@ -27,7 +27,7 @@
 
     Examples
     --------
-    ``candidates.take(wish)`` gives the best agent with room for a task. What it is assigned is to
+    ``candidates.take(request)`` gives the best agent with room for a task. What it is assigned is to
     be reserved before the next call.
     """
 
@@ -58,25 +58,25 @@
         """Whether any agent has room for a task, whatever else it asks."""
         return any(agent.free.fits(need) for agent in self._agents)
 
-    def take_again(self, wish: "Wish") -> "AgentView | None":
+    def take_again(self, request: "Wish") -> "AgentView | None":
         """The agent that was taken last, if it has room for a task of the same job."""
-        if self._taken is None or wish.is_picky:
+        if self._taken is None or request.is_picky:
             return None
         agent = self._agents[self._taken]
-        return agent if _has_room(agent, wish) else None
+        return agent if _has_room(agent, request) else None
 
-    def take(self, wish: "Wish") -> "AgentView | None":
+    def take(self, request: "Wish") -> "AgentView | None":
         """The best agent for a task; None when none has room for it."""
         self._put_back_taken()
-        if wish.is_picky:
+        if request.is_picky:
             # Few tasks are; the order of the heap says nothing of what they prefer.
-            return self._take_picky(wish)
+            return self._take_picky(request)
         passed: list[_Entry] = []
         found = None
         while self._heap and found is None:
             entry = heappop(self._heap)
             agent = self._agents[entry[-1]]
-            if _has_room(agent, wish):
+            if _has_room(agent, request):
                 found = agent
                 self._taken = entry[-1]
             else:
@@ -85,8 +85,8 @@
             heappush(self._heap, entry)
         return found
 
-    def _take_picky(self, wish: "Wish") -> "AgentView | None":
-        agent = self._view.choose(wish, self._agents)
+    def _take_picky(self, request: "Wish") -> "AgentView | None":
+        agent = self._view.choose(request, self._agents)
         if agent is not None:
             # Its entry in the heap is made anew, with what it will have left.
             number = self._agents.index(agent)
@@ -96,5 +96,5 @@
         return agent
 
 
-def _has_room(agent: "AgentView", wish: "Wish") -> bool:
-    return agent.free.fits(wish.need) and wish.estimate_ms <= agent.longest_ms
+def _has_room(agent: "AgentView", request: "Wish") -> bool:
+    return agent.free.fits(request.need) and request.estimate_ms <= agent.longest_ms
--- a/src/gentianmux/leased/entry_reports.py
+++ b/src/gentianmux/leased/entry_reports.py
@@ -52,7 +52,7 @@
         Number of the last assignment of each entry.
     grants : Grants
         Which entries wait for room, and what of it is kept for them.
-    turned_away : set
+    not_offered : set
         Entries that are offered none, since the agent will let go of them.
 
     Examples
@@ -70,7 +70,7 @@
         self.chain = EntryLeases()
         self.applied: dict[str, int] = {}
         self.grants = Grants()
-        self.turned_away: set[str] = set()
+        self.not_offered: set[str] = set()
         self._links = links
         self._clock = clock
         self._load = load
@@ -131,7 +131,7 @@
             self._sent_up_to.pop(entry, None)
             self.applied.pop(entry, None)
             self.chain.forget(entry)
-            self.turned_away.discard(entry)
+            self.not_offered.discard(entry)
             self._reported_at.pop(entry, None)
             self.grants.forget(entry)
 
@@ -189,7 +189,7 @@
 
     def _in_turn(self) -> list[str]:
         """Entries that may use room, from another one on with each report."""
-        entries = [each for each in self._links.processes() if each not in self.turned_away]
+        entries = [each for each in self._links.processes() if each not in self.not_offered]
         first = self._number % max(1, len(entries))
         return entries[first:] + entries[:first]
 
@@ -233,7 +233,7 @@
             return
         room = self._load().offered
         granted = self.grants.deal(room, self._clock.now()) if room.cpu > 0 else set()
-        granted -= self.turned_away
+        granted -= self.not_offered
         if granted:
             self._report(sorted(granted))
             self._look_for_lapsed()
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -252,29 +252,29 @@
         """How many entries share the agents, this one included."""
         return max((agent.entries for agent in self._some() if agent.is_fresh(now)), default=1)
 
-    def choose(self, wish: PlacementRequest, serving: Iterable[AgentView]) -> AgentView | None:
+    def choose(self, request: PlacementRequest, serving: Iterable[AgentView]) -> AgentView | None:
         """The best of some serving agents for a task; None when none has room for it."""
         agents = list(serving)
         if len(agents) > SAMPLE:
             agents = self._rng.sample(agents, SAMPLE)
-        able = [agent for agent in agents if self._suits(agent, wish)]
+        able = [agent for agent in agents if self._suits(agent, request)]
         if not able:
             return None
-        return min(able, key=lambda agent: self._cost(agent, wish))
+        return min(able, key=lambda agent: self._cost(agent, request))
 
-    def _suits(self, agent: AgentView, wish: PlacementRequest) -> bool:
+    def _suits(self, agent: AgentView, request: PlacementRequest) -> bool:
         state = agent.state
-        if state is None or state.incarnation in wish.avoid or state.incarnation in wish.full:
+        if state is None or state.incarnation in request.avoid or state.incarnation in request.full:
             return False
-        if wish.estimate_ms > agent.longest_ms:
+        if request.estimate_ms > agent.longest_ms:
             return False
-        if wish.requires and wish.requires not in state.labels:
+        if request.requires and request.requires not in state.labels:
             return False
-        return agent.free.fits(wish.need)
+        return agent.free.fits(request.need)
 
-    def _cost(self, agent: AgentView, wish: PlacementRequest) -> tuple[bool, int, float, float]:
+    def _cost(self, agent: AgentView, request: PlacementRequest) -> tuple[bool, int, float, float]:
         state = agent.state
-        far = bool(wish.prefers) and (state is None or wish.prefers not in state.labels)
+        far = bool(request.prefers) and (state is None or request.prefers not in state.labels)
         return far, *self.weight(agent)
 
     def weight(self, agent: AgentView) -> tuple[int, float, float]:
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -141,10 +141,10 @@
     ) -> bool:
         together = 0
         for task in job.ready():
-            wish = self._wish(job, task, now)
-            agent = candidates.take_again(wish) if 0 < together < TOGETHER else None
+            request = self._wish(job, task, now)
+            agent = candidates.take_again(request) if 0 < together < TOGETHER else None
             together = together + 1 if agent is not None else 1
-            agent = agent or candidates.take(wish)
+            agent = agent or candidates.take(request)
             if agent is None or agent.state is None:
                 return False
             run = job.assign(task, agent.process, agent.state.incarnation, now)
--- a/src/gentianmux/limits.py
+++ b/src/gentianmux/limits.py
@@ -28,7 +28,7 @@
     --------
     >>> limits = MemberLimits(Settings(max_inflight=2), ConfigState(), Random(1))
     >>> limits.acquire("steppe", 0.0, entries=1)
-    >>> limits.leave("steppe")
+    >>> limits.release("steppe")
     """
 
     def __init__(self, cfg: Settings, config: ConfigState, rng: Random) -> None:
@@ -65,7 +65,7 @@
         self._inflight[member] += 1
         self._total += 1
 
-    def leave(self, member: str) -> None:
+    def release(self, member: str) -> None:
         """Count a request out."""
         self._inflight[member] -= 1
         self._total -= 1
--- a/src/gentianmux/shard_manager.py
+++ b/src/gentianmux/shard_manager.py
@@ -313,7 +313,7 @@
 
     # Cancelling
 
-    def revoke_soon(self, agent: str, key: str) -> None:
+    def schedule_revoke(self, agent: str, key: str) -> None:
         """Revoke a job's tasks at an agent, together with others of the next moments."""
         if not self._revokes[agent]:
             self._ctx.clock.call_later(REVOKE_WINDOW_S, self._send_revokes, agent)
--- a/standins/platform_endpoint.py
+++ b/standins/platform_endpoint.py
@@ -37,7 +37,7 @@
 
     Attributes
     ----------
-    lose_answers, late_orders : int
+    unanswered_calls, late_orders : int
         Starts that are done without an answer; that are done ``late_s`` later without one.
     garbage : bytes
         What every call answers instead; empty for the truth.
@@ -57,7 +57,7 @@
     def __init__(self, instance: str, cpu: int = 16000, cpu_of_task: int = 1600) -> None:
         self.instance = instance
         self.cpu = cpu
-        self.lose_answers = 0
+        self.unanswered_calls = 0
         self.late_orders = 0
         self.late_s = 0.5
         self.garbage = b""
@@ -115,7 +115,7 @@
         if self.garbage:
             start_response("200 OK", [("Content-Length", str(len(self.garbage)))])
             return [self.garbage]
-        if call == self._start and (self.late_orders or self.lose_answers):
+        if call == self._start and (self.late_orders or self.unanswered_calls):
             return self._unanswered(environ, body)
         status, content = self._fenced(call, body)
         if life != self._lives:
@@ -128,7 +128,7 @@
             self.late_orders -= 1
             gevent.spawn_later(self.late_s, self._fenced, self._start, body)
         else:
-            self.lose_answers -= 1
+            self.unanswered_calls -= 1
             self._fenced(self._start, body)
         environ["gentianmux.socket"].close()
         return []
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -38,7 +38,7 @@
     ----------
     down : int
         Status that every call gets; 0 for none.
-    lose_answers : int
+    unanswered_calls : int
         Writes that are done and then answered by a closed connection.
     garbage : bytes
         What every successful call answers instead; empty for the truth.
@@ -53,7 +53,7 @@
 
     def __init__(self, keep_s: float = 20.0, writes_per_s: int = 800) -> None:
         self.down = 0
-        self.lose_answers = 0
+        self.unanswered_calls = 0
         self.garbage = b""
         self.writes_per_s = writes_per_s
         self.writes = 0
@@ -87,8 +87,8 @@
             answer = Answer(self.down, b"")
         elif call == ("POST", "/v1/log-append"):
             answer = self._append(query, body)
-            if self.lose_answers:
-                self.lose_answers -= 1
+            if self.unanswered_calls:
+                self.unanswered_calls -= 1
                 environ["gentianmux.socket"].close()
                 return []
         elif call == ("GET", "/v1/log-newest"):
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -106,17 +106,17 @@
     candidates = Candidates(view, serving)
     for number in range(40):
         avoid = frozenset({"x1", "x4"}) if rng.random() < 0.2 else frozenset()
-        wish = PlacementRequest(
+        request = PlacementRequest(
             "s", Resources(rng.randrange(400, 5000), 64), avoid=avoid, estimate_ms=100
         )
-        best = view.choose(wish, serving)
-        taken = candidates.take(wish)
+        best = view.choose(request, serving)
+        taken = candidates.take(request)
         assert (taken is None) == (best is None)
         if taken is None or best is None:
             continue
         assert weight_of(view, taken) == weight_of(view, best)
-        assert taken.free.fits(wish.need) and taken.longest_ms >= 100
-        taken.reserve(number + 1, wish.need)
+        assert taken.free.fits(request.need) and taken.longest_ms >= 100
+        taken.reserve(number + 1, request.need)
 
 
 def test_room_is_counted_once_reserved_and_again_once_reported() -> None:
--- a/tests/test_leased_neighbours.py
+++ b/tests/test_leased_neighbours.py
@@ -61,11 +61,11 @@
 
     def __init__(self) -> None:
         self.serves: set[str] = set()
-        self.turned_away: set[str] = set()
+        self.not_offered: set[str] = set()
 
     def stop_offering(self, entries: set[str]) -> set[str]:
-        idle = {e for e in entries & self.turned_away if e not in self.serves}
-        self.turned_away = entries - idle
+        idle = {e for e in entries & self.not_offered if e not in self.serves}
+        self.not_offered = entries - idle
         return idle
 
 
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -124,14 +124,14 @@
 
 def test_the_fastest_agent_with_room_is_chosen_and_then_the_emptiest() -> None:
     view = fleet(1.0, {"a": 2000, "b": 9000, "c": 16000}, {"c": 300})
-    wish = PlacementRequest("s", Resources(1600, 64))
-    chosen = view.choose(wish, view.willing("s", 1.0))
+    request = PlacementRequest("s", Resources(1600, 64))
+    chosen = view.choose(request, view.willing("s", 1.0))
     assert chosen is not None
     assert chosen.process == "b.1"
-    avoided = view.choose(wish._replace(avoid=frozenset({"b-x"})), view.willing("s", 1.0))
+    avoided = view.choose(request._replace(avoid=frozenset({"b-x"})), view.willing("s", 1.0))
     assert avoided is not None
     assert avoided.process == "a.1"
-    assert view.choose(wish._replace(requires="z"), view.willing("s", 1.0)) is None
+    assert view.choose(request._replace(requires="z"), view.willing("s", 1.0)) is None
 
 
 def test_room_assigned_since_the_last_report_is_not_given_away_again() -> None:
@@ -336,9 +336,9 @@
     agent = view.of("w1.5")
     agent.state = EndpointState("x", "s", "fd", 16000, 1000, 0, [], True)
     agent.take_load(AgentLoad(1, 0, 16000, 1000, 0, 100, 1, 1, 400), 10.0)
-    wish = PlacementRequest("s", Resources(1600, 64), estimate_ms=400)
-    assert view.choose(wish, view.willing("s", 10.0)) is agent
-    assert view.choose(wish._replace(estimate_ms=401), view.willing("s", 10.0)) is None
+    request = PlacementRequest("s", Resources(1600, 64), estimate_ms=400)
+    assert view.choose(request, view.willing("s", 10.0)) is agent
+    assert view.choose(request._replace(estimate_ms=401), view.willing("s", 10.0)) is None
 
 
 def test_jobs_that_fit_endpoints_about_to_connect_are_kept() -> None:
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -81,7 +81,7 @@
     world = ready_world()
     for machine in world.machines.values():
         machine.endpoint.late_orders = 2 if late else 0
-        machine.endpoint.lose_answers = 0 if late else 2
+        machine.endpoint.unanswered_calls = 0 if late else 2
     jobs = [world.submit("e0", tasks=4, run_s=0.4) for _ in range(4)]
     world.run(6.0)
     assert [outcome(job) for job in jobs] == [JobOutcome.COMPLETED] * 4
@@ -274,7 +274,7 @@
     elif what == 5:
         world.reset(machine.name, entry)
     elif what == 6:
-        endpoint.lose_answers = rng.randrange(4)
+        endpoint.unanswered_calls = rng.randrange(4)
     elif what == 7:
         endpoint.late_orders = rng.randrange(3)
     elif what == 8:
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -182,7 +182,7 @@
 
 def test_an_unanswered_write_may_have_been_done_and_may_be_done_again() -> None:
     app = PlatformStoreApp()
-    app.lose_answers = 1
+    app.unanswered_calls = 1
     with served(app) as address:
         store = PlatformStore(address)
         with pytest.raises(LogError):
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -72,7 +72,7 @@
         except GentianmuxError as exc:
             assert exc.code is ResultCode.RATE_LIMITED
         else:
-            limits.leave("m")
+            limits.release("m")
             taken += 1
     assert 100 <= taken <= 111
 
