--- a/bench/leased_endpoint.py
+++ b/bench/leased_endpoint.py
@@ -76,7 +76,7 @@
         Share of looks that are carried out and not answered.
     unanswered_calls : int
         Starts that get no answer although they are carried out.
-    late_orders : int
+    delayed_starts : int
         Starts that get no answer and are carried out ``late_by`` seconds later.
     """
 
@@ -93,7 +93,7 @@
         self.drain_heard_at: float | None = None
         self.unanswered_calls = 0
         self.lose_looks = 0.0
-        self.late_orders = 0
+        self.delayed_starts = 0
         self.late_by = 3.0
         self.up = True
         self.active: dict[tuple[str, int], FakeRun] = {}
@@ -229,8 +229,8 @@
             return StartResult.REPLACED
         except NoAnswer:
             return StartResult.NO_ANSWER
-        if endpoint.late_orders:
-            endpoint.late_orders -= 1
+        if endpoint.delayed_starts:
+            endpoint.delayed_starts -= 1
             order = (task, run, self._fence, until, True)
             self._world.at(endpoint.late_by, "", endpoint.begin, *order)
             return StartResult.NO_ANSWER
--- a/bench/leased_world.py
+++ b/bench/leased_world.py
@@ -16,7 +16,7 @@
 from bench.leased_links import ONE_WAY_S, FakeClock, FakeLinks
 from gentianmux.clock import Clock
 from gentianmux.codec import encode
-from gentianmux.leased.agent import UPKEEP_S, Agent
+from gentianmux.leased.agent import MAINTENANCE_INTERVAL_S, Agent
 from gentianmux.leased.config_feed import ConfigFeed, ConfigSource
 from gentianmux.leased.entry import LOSS_CHECK_S, STEP_S, Entry
 from gentianmux.leased.entry_leases import REPORT_INTERVAL_S
@@ -210,7 +210,7 @@
         machine.agent, machine.links = agent, links
         self.alive.add(me.process)
         self.every(REPORT_INTERVAL_S, me.process, agent.send_due)
-        self.every(UPKEEP_S, me.process, agent.check_chains)
+        self.every(MAINTENANCE_INTERVAL_S, me.process, agent.check_chains)
         self.every(0.01, me.process, lambda: self._look(agent, driver))
 
     def stop_agent(self, name: str, grace_s: float = 5.3, back_s: float = 0.9) -> None:
--- a/bench/world.py
+++ b/bench/world.py
@@ -13,7 +13,7 @@
 from gentianmux.codes import ResultCode
 from gentianmux.coordinator import Coordinator
 from gentianmux.dispatcher import TRY_AGAIN
-from gentianmux.endpoint_client import Run
+from gentianmux.endpoint_client import TaskOutcome
 from gentianmux.errors import LogError
 from gentianmux.executor import Executor
 from gentianmux.fleet_state import FleetState
@@ -22,7 +22,7 @@
 from gentianmux.ids import NO_TIME, shard_of
 from gentianmux.membership import ProcessState
 from gentianmux.messages import Answer, MemberUpdate, Message, Submit, Task
-from gentianmux.node import announce
+from gentianmux.node import make_join
 from gentianmux.node_context import NodeContext
 from gentianmux.placement import Placement
 from gentianmux.platform_log import MemoryLog, Record
@@ -153,7 +153,7 @@
         cfg = world.cfg._replace(
             name=name, peer_address=f"10.0.0.{int(name[1:]) + 1}:1", failure_domain=f"fd{name[1:]}"
         )
-        me = announce(cfg, incarnation)
+        me = make_join(cfg, incarnation)
         self.name = name
         self.process = me.process
         self.ctx = NodeContext(cfg, me, FakeLog(world, name), FakeClock(world, me.process))
@@ -190,7 +190,7 @@
     def _launch(self, job: JobRecord, record: TaskRecord) -> None:
         world = self._world
         world.starts.append(Start(self.name, job.key, record.task.number, world.time))
-        run = Run(ResultCode.OK, record.task.payload)
+        run = TaskOutcome(ResultCode.OK, record.task.payload)
         run_s = world.run_time(self.name, record.task)
         world.at(run_s, self.process, self.ctx.executor.on_ended, job, record, run)
 
--- a/src/gentianmux/endpoint_client.py
+++ b/src/gentianmux/endpoint_client.py
@@ -16,7 +16,7 @@
 CONTROL_TIMEOUT_S = 2.0
 
 
-class Run(NamedTuple):
+class TaskOutcome(NamedTuple):
     """How a task ended at the endpoint."""
 
     code: ResultCode
@@ -50,7 +50,7 @@
             network_timeout=CONTROL_TIMEOUT_S,
         )
 
-    def run(self, job: JobRecord, task: Task, timeout_s: float) -> Run:
+    def run(self, job: JobRecord, task: Task, timeout_s: float) -> TaskOutcome:
         """Run a task and wait for its result.
 
         Parameters
@@ -64,7 +64,7 @@
 
         Returns
         -------
-        Run
+        TaskOutcome
             ``OK`` with the output, ``TASK_FAILED``, ``ENDPOINT_REFUSED`` (did not start),
             ``STOPPED``, or ``TASK_UNKNOWN`` when no answer came.
         """
@@ -86,11 +86,11 @@
         except gevent.Timeout as exc:
             if exc is not timeout:
                 raise
-            return Run(ResultCode.TASK_UNKNOWN, "no answer in time")
+            return TaskOutcome(ResultCode.TASK_UNKNOWN, "no answer in time")
         except ConnectionRefusedError:
-            return Run(ResultCode.ENDPOINT_REFUSED, "nothing listens at the endpoint")
+            return TaskOutcome(ResultCode.ENDPOINT_REFUSED, "nothing listens at the endpoint")
         except HTTP_CALL_ERRORS as exc:
-            return Run(ResultCode.TASK_UNKNOWN, type(exc).__name__)
+            return TaskOutcome(ResultCode.TASK_UNKNOWN, type(exc).__name__)
 
     def renew(self, names: list[str]) -> None:
         """Renew the leases of running tasks, all in one call."""
@@ -131,17 +131,17 @@
     return f"{key}/{task.number}/{task.attempt}"
 
 
-def _read_run(status: int, data: bytes) -> Run:
+def _read_run(status: int, data: bytes) -> TaskOutcome:
     content = json.loads(data)
     output = str(content.get("output", content.get("error", "")))
     if not output.isascii():
         output = output.encode("utf-8", "replace").decode()
     if status == 200:
-        return Run(ResultCode.OK, output)
+        return TaskOutcome(ResultCode.OK, output)
     if status == 409:
-        return Run(ResultCode.STOPPED, output)
+        return TaskOutcome(ResultCode.STOPPED, output)
     if status == 410:
-        return Run(ResultCode.TASK_UNKNOWN, "the task's lease lapsed")
+        return TaskOutcome(ResultCode.TASK_UNKNOWN, "the task's lease lapsed")
     if status == 429:
-        return Run(ResultCode.ENDPOINT_REFUSED, output)
-    return Run(ResultCode.TASK_FAILED, output)
+        return TaskOutcome(ResultCode.ENDPOINT_REFUSED, output)
+    return TaskOutcome(ResultCode.TASK_FAILED, output)
--- a/src/gentianmux/executor.py
+++ b/src/gentianmux/executor.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from .codes import ResultCode
-from .endpoint_client import EndpointClient, Run, task_name
+from .endpoint_client import EndpointClient, TaskOutcome, task_name
 from .fair_queue import FairQueue
 from .messages import (
     Decline,
@@ -273,10 +273,10 @@
             run = self._endpoint.run(job, record.task, self._time_left_s(job))
         except Exception as exc:
             logger.bind(job=job.key, code=int(ResultCode.INTERNAL)).exception("task failed")
-            run = Run(ResultCode.TASK_UNKNOWN, type(exc).__name__)
+            run = TaskOutcome(ResultCode.TASK_UNKNOWN, type(exc).__name__)
         self.on_ended(job, record, run)
 
-    def on_ended(self, job: JobRecord, record: TaskRecord, run: Run) -> None:
+    def on_ended(self, job: JobRecord, record: TaskRecord, run: TaskOutcome) -> None:
         """Take in how a task ended."""
         ran_ms = (self._ctx.now() - record.state_since) * 1000
         result = TaskResult(
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -47,7 +47,7 @@
 from .run_watch import RunWatch
 from .settings import LeasedSettings
 
-UPKEEP_S = REPORT_INTERVAL_S / 2
+MAINTENANCE_INTERVAL_S = REPORT_INTERVAL_S / 2
 """Seconds between checks of the entries' leases and of reports that are due, while something runs.
 One loop of 16 turns a second took the place of three of 38: a turn that does nothing costs some
 80 us of processor."""
@@ -201,7 +201,9 @@
         self.check_chains()
         self.send_due()
         gevent.sleep(
-            UPKEEP_S if self._ctx.table.runs or self._ctx.table.foreign else REPORT_INTERVAL_S
+            MAINTENANCE_INTERVAL_S
+            if self._ctx.table.runs or self._ctx.table.foreign
+            else REPORT_INTERVAL_S
         )
 
     def poll(self) -> bool:
--- a/src/gentianmux/leased/candidates.py
+++ b/src/gentianmux/leased/candidates.py
@@ -60,7 +60,7 @@
 
     def take_again(self, request: "Wish") -> "AgentView | None":
         """The agent that was taken last, if it has room for a task of the same job."""
-        if self._taken is None or request.is_picky:
+        if self._taken is None or request.is_constrained:
             return None
         agent = self._agents[self._taken]
         return agent if _has_room(agent, request) else None
@@ -68,7 +68,7 @@
     def take(self, request: "Wish") -> "AgentView | None":
         """The best agent for a task; None when none has room for it."""
         self._put_back_taken()
-        if request.is_picky:
+        if request.is_constrained:
             # Few tasks are; the order of the heap says nothing of what they prefer.
             return self._take_picky(request)
         passed: list[_Entry] = []
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -129,7 +129,7 @@
     estimate_ms: int = 0
 
     @property
-    def is_picky(self) -> bool:
+    def is_constrained(self) -> bool:
         """Whether it matters on which endpoint the task runs, beyond room and speed."""
         return bool(self.requires or self.prefers or self.avoid or self.full)
 
--- a/src/gentianmux/node.py
+++ b/src/gentianmux/node.py
@@ -29,7 +29,7 @@
 NOTICE_S = 0.3
 
 
-def announce(cfg: Settings, incarnation: int | None = None) -> Join:
+def make_join(cfg: Settings, incarnation: int | None = None) -> Join:
     """How a process with these settings announces itself."""
     started_ms = int(time() * 1000) if incarnation is None else incarnation
     return Join(
@@ -63,7 +63,7 @@
     """
 
     def __init__(self, cfg: Settings, log: PlatformLog | None = None) -> None:
-        self.ctx = NodeContext(cfg, announce(cfg), log or HttpLog(cfg.log_url))
+        self.ctx = NodeContext(cfg, make_join(cfg), log or HttpLog(cfg.log_url))
         self.peers = Peers(self.ctx, handle, lambda name, conn: on_lost(name, conn, self.ctx))
         self.gossip = GossipServer(self.ctx)
         self.stream_reader = StreamReader(self.ctx)
--- a/standins/platform_endpoint.py
+++ b/standins/platform_endpoint.py
@@ -37,7 +37,7 @@
 
     Attributes
     ----------
-    unanswered_calls, late_orders : int
+    unanswered_calls, delayed_starts : int
         Starts that are done without an answer; that are done ``late_s`` later without one.
     garbage : bytes
         What every call answers instead; empty for the truth.
@@ -58,7 +58,7 @@
         self.instance = instance
         self.cpu = cpu
         self.unanswered_calls = 0
-        self.late_orders = 0
+        self.delayed_starts = 0
         self.late_s = 0.5
         self.garbage = b""
         self.draining = False
@@ -115,7 +115,7 @@
         if self.garbage:
             start_response("200 OK", [("Content-Length", str(len(self.garbage)))])
             return [self.garbage]
-        if call == self._start and (self.late_orders or self.unanswered_calls):
+        if call == self._start and (self.delayed_starts or self.unanswered_calls):
             return self._unanswered(environ, body)
         status, content = self._fenced(call, body)
         if life != self._lives:
@@ -124,8 +124,8 @@
         return _answer(start_response, status, {**content, "clock_ms": self.clock_ms()})
 
     def _unanswered(self, environ: dict[str, Any], body: dict[str, Any]) -> Iterable:
-        if self.late_orders:
-            self.late_orders -= 1
+        if self.delayed_starts:
+            self.delayed_starts -= 1
             gevent.spawn_later(self.late_s, self._fenced, self._start, body)
         else:
             self.unanswered_calls -= 1
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -80,7 +80,7 @@
 def test_a_start_without_an_answer_is_never_run_twice(late: bool) -> None:
     world = ready_world()
     for machine in world.machines.values():
-        machine.endpoint.late_orders = 2 if late else 0
+        machine.endpoint.delayed_starts = 2 if late else 0
         machine.endpoint.unanswered_calls = 0 if late else 2
     jobs = [world.submit("e0", tasks=4, run_s=0.4) for _ in range(4)]
     world.run(6.0)
@@ -276,7 +276,7 @@
     elif what == 6:
         endpoint.unanswered_calls = rng.randrange(4)
     elif what == 7:
-        endpoint.late_orders = rng.randrange(3)
+        endpoint.delayed_starts = rng.randrange(3)
     elif what == 8:
         endpoint.failing = not endpoint.failing
     elif what == 9:
@@ -397,7 +397,7 @@
 def test_a_start_without_an_answer_is_settled_within_a_few_round_trips() -> None:
     world = ready_world(agents=2)
     for machine in world.machines.values():
-        machine.endpoint.late_orders = 1
+        machine.endpoint.delayed_starts = 1
     job = world.submit("e0", tasks=4, run_s=0.2)
     world.run(0.3)
     assert outcome(job) is JobOutcome.COMPLETED
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -236,7 +236,7 @@
 
 def test_a_stop_also_keeps_a_start_on_its_way_from_running() -> None:
     app = PlatformEndpointApp("i-1")
-    app.late_orders = 1
+    app.delayed_starts = 1
     app.late_s = 0.1
     with served(app) as address:
         driver = PlatformEndpoint(address, 0.05)
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -124,7 +124,7 @@
 def test_starts_without_an_answer_and_late_ones_are_no_second_run(deployment: Deployment) -> None:
     for endpoint in deployment.endpoints.values():
         endpoint.unanswered_calls = 2
-        endpoint.late_orders = 2
+        endpoint.delayed_starts = 2
     status, body = deployment.submit("0000000000000101", job_body(tasks=10, run_ms=300))
     assert (status, body) == (200, COMPLETED)
     gevent.sleep(0.7)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -11,7 +11,7 @@
 from bench.world import SETTINGS, World
 from gentianmux.codes import ResultCode
 from gentianmux.config_state import Change, ConfigState
-from gentianmux.endpoint_client import Run
+from gentianmux.endpoint_client import TaskOutcome
 from gentianmux.errors import GentianmuxError
 from gentianmux.fair_queue import FairQueue
 from gentianmux.limits import MemberLimits
@@ -110,7 +110,7 @@
     node = world.node(name)
     assert node is not None
     executor, ended = node.ctx.executor, node.ctx.executor.on_ended
-    failed = Run(ResultCode.TASK_FAILED, "")
+    failed = TaskOutcome(ResultCode.TASK_FAILED, "")
     executor.on_ended = lambda job, record, run: ended(job, record, failed)  # type: ignore
 
 
