--- a/bench/leased_capacity.py
+++ b/bench/leased_capacity.py
@@ -45,7 +45,7 @@
     for _ in range(ROUNDS):
         began = process_time()
         for _ in range(DECISIONS):
-            willing = view.willing("s", 1.0)
+            willing = view.eligible("s", 1.0)
             for _ in range(4):
                 view.choose(request, willing)
         took.append((process_time() - began) / DECISIONS * 1e6)
--- a/bench/leased_links.py
+++ b/bench/leased_links.py
@@ -71,7 +71,7 @@
             if self._world.time - self.heard[process] > IDLE_TIMEOUT_S:
                 self.close(process)
 
-    def renew(self, process: str) -> None:
+    def reconnect(self, process: str) -> None:
         """Replace a connection, at most once in ``REOPEN_INTERVAL_S``."""
         now = self._world.time
         if now - self.heard.get(process, now) < REOPEN_AFTER_S:
--- a/bench/leased_world.py
+++ b/bench/leased_world.py
@@ -209,7 +209,7 @@
         agent = Agent(cfg, driver, links, self._feed(clock), metrics, clock)  # type: ignore[arg-type]
         machine.agent, machine.links = agent, links
         self.alive.add(me.process)
-        self.every(REPORT_INTERVAL_S, me.process, agent.send_due)
+        self.every(REPORT_INTERVAL_S, me.process, agent.send_due_reports)
         self.every(MAINTENANCE_INTERVAL_S, me.process, agent.check_chains)
         self.every(0.01, me.process, lambda: self._look(agent, driver))
 
--- a/src/gentianmux/config_commands.py
+++ b/src/gentianmux/config_commands.py
@@ -21,7 +21,7 @@
 from .inventory import Imported, diff, read_inventory, read_rules
 from .log_client import HttpLog
 from .output import EXIT_FAILED, EXIT_OK, EXIT_UNKNOWN, Output, spinner
-from .publish import Published, current, publish
+from .publish import PublishResult, current, publish
 from .rules import find_faults
 
 LOG_URL = "http://127.0.0.1:7300"
@@ -205,7 +205,7 @@
     return _show_outcome(out, change, done)
 
 
-def _show_outcome(out: Output, change: Change, done: Published) -> int:
+def _show_outcome(out: Output, change: Change, done: PublishResult) -> int:
     words = {ResultCode.OK: "accepted", ResultCode.CHANGE_UNKNOWN: "unknown"}
     word = words.get(done.code, "rejected")
     if out.as_json:
--- a/src/gentianmux/executor.py
+++ b/src/gentianmux/executor.py
@@ -116,7 +116,7 @@
         """Whether no task runs or waits."""
         return self.load == 0
 
-    def say_farewell(self) -> bool:
+    def send_shutdown_notices(self) -> bool:
         """Ask every coordinator to be done with this agent; true once all of them are.
 
         A frame that is still on its way here is thereby answered before this process ends, so
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -199,7 +199,7 @@
     def _keep_up(self) -> None:
         """Check the chains and report, and wait for the next turn: at rest no run depends on it."""
         self.check_chains()
-        self.send_due()
+        self.send_due_reports()
         gevent.sleep(
             MAINTENANCE_INTERVAL_S
             if self._ctx.table.runs or self._ctx.table.foreign
@@ -302,7 +302,7 @@
         self._stops.stop_unechoed()
         for entry in self._ctx.links.processes():
             if self._chain.is_quiet(entry, now, self._ctx.has_runs_of(entry)):
-                self._ctx.links.renew(entry)
+                self._ctx.links.reconnect(entry)
         self._ctx.reports.forget_silent(now)
         self._ctx.links.close_idle()
 
@@ -370,9 +370,9 @@
         """Report the room on offer to every entry."""
         self._ctx.reports.send_load()
 
-    def send_due(self) -> None:
+    def send_due_reports(self) -> None:
         """Report the room on offer to the entries whose turn it is."""
-        self._ctx.reports.send_due()
+        self._ctx.reports.send_due_reports()
 
     # Leaving
 
--- a/src/gentianmux/leased/entry_reports.py
+++ b/src/gentianmux/leased/entry_reports.py
@@ -148,7 +148,7 @@
         self._gathering = False
         self._report(self._links.processes())
 
-    def send_due(self) -> None:
+    def send_due_reports(self) -> None:
         """Report the load to the entries whose turn it is: those without runs here less often."""
         now = self._clock.now()
         entries = self._links.processes()
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -212,7 +212,7 @@
             for agent in self._order
         )
 
-    def willing(self, service: str, now: float) -> list[AgentView]:
+    def eligible(self, service: str, now: float) -> list[AgentView]:
         """Agents that serve a service and have not just refused a run."""
         return [agent for agent in self.serving(service, now) if now >= agent.failed_until]
 
--- a/src/gentianmux/leased/links.py
+++ b/src/gentianmux/leased/links.py
@@ -144,7 +144,7 @@
             gevent.sleep(wait_s)
             wait_s = min(SLOWEST_REDIAL_S, wait_s * 1.5)
 
-    def renew(self, process: str) -> None:
+    def reconnect(self, process: str) -> None:
         """Open another connection beside one on which nothing gets through, to replace it.
 
         A connection may go silent for good while new ones work. Only one side may do this: two
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -81,7 +81,7 @@
 
     def _place_service(self, service: str, shares: dict[str, list[LeasedTask]], now: float) -> None:
         view = self._ctx.view
-        candidates = Candidates(view, view.willing(service, now))
+        candidates = Candidates(view, view.eligible(service, now))
         too_large: Resources | None = None
         planned = 0
         for job in self._ctx.backlog.of(service) if len(candidates) else ():
@@ -172,7 +172,7 @@
 
     def _avoided(self, job: JobState, task: TaskState, now: float) -> frozenset[str]:
         """Lives on which a task ended badly, unless no others serve its service."""
-        willing = self._ctx.view.willing(job.queue.service, now)
+        willing = self._ctx.view.eligible(job.queue.service, now)
         others = any(a.state is not None and a.state.incarnation not in task.avoid for a in willing)
         return frozenset(task.avoid) if others else frozenset()
 
--- a/src/gentianmux/node.py
+++ b/src/gentianmux/node.py
@@ -150,7 +150,7 @@
             return False
         if not ctx.is_agent:
             return True
-        parted = ctx.executor.say_farewell()
+        parted = ctx.executor.send_shutdown_notices()
         idle = ctx.executor.is_idle() and not ctx.coordinator.jobs
         return parted and idle and not self._shards_to_move()
 
--- a/src/gentianmux/publish.py
+++ b/src/gentianmux/publish.py
@@ -11,7 +11,7 @@
 from .rules import Fault
 
 
-class Published(NamedTuple):
+class PublishResult(NamedTuple):
     """What became of a change: ``OK``, ``CHANGE_CONFLICT``, ``CHANGE_INVALID`` or unknown."""
 
     code: ResultCode
@@ -21,7 +21,7 @@
 
 def publish(
     log: PlatformLog, change: Change, attempts: int, pause: Callable[[], None]
-) -> Published:
+) -> PublishResult:
     """Append a change and read it back.
 
     A reply that was lost after the write is no loss: the change is looked for by its id, and an
@@ -47,12 +47,12 @@
         found = _round(log, change, follower, state)
         if found is not None:
             return found
-    return Published(ResultCode.CHANGE_UNKNOWN, -1, [])
+    return PublishResult(ResultCode.CHANGE_UNKNOWN, -1, [])
 
 
 def _round(
     log: PlatformLog, change: Change, follower: Follower, state: ConfigState
-) -> Published | None:
+) -> PublishResult | None:
     try:
         follower.poll()
         if change.change_id not in state.outcomes:
@@ -61,7 +61,7 @@
     except LogError:
         return None
     outcome = state.outcomes.get(change.change_id)
-    return None if outcome is None else Published(outcome.code, outcome.offset, outcome.faults)
+    return None if outcome is None else PublishResult(outcome.code, outcome.offset, outcome.faults)
 
 
 def current(log: PlatformLog) -> ConfigState:
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -102,7 +102,7 @@
 def test_the_best_agent_by_the_kept_order_is_the_best_of_all(seed: int) -> None:
     rng = Random(seed)
     view = fleet(rng)
-    serving = view.willing("s", 1.0)
+    serving = view.eligible("s", 1.0)
     candidates = Candidates(view, serving)
     for number in range(40):
         avoid = frozenset({"x1", "x4"}) if rng.random() < 0.2 else frozenset()
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -574,9 +574,9 @@
     assert agent.state is not None
     agent.state = agent.state._replace(born=100)
     request = PlacementRequest("s", Resources(1600, 64), avoid=frozenset({agent.state.incarnation}))
-    assert view.choose(request, view.willing("s", 1.0)) is None
+    assert view.choose(request, view.eligible("s", 1.0)) is None
     agent.state = agent.state._replace(born=200)
-    assert view.choose(request, view.willing("s", 1.0)) is agent
+    assert view.choose(request, view.eligible("s", 1.0)) is agent
 
 
 def test_what_is_announced_follows_the_life_at_work() -> None:
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -169,7 +169,9 @@
     view = world.entries["e0"].view
     assert view is not None
     world.evacuate("fd1", readers=["e0"])
-    willing = {agent.state.failure_domain for agent in view.willing("s", world.time) if agent.state}
+    willing = {
+        agent.state.failure_domain for agent in view.eligible("s", world.time) if agent.state
+    }
     assert willing == {"fd0", "fd2"}
 
 
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -125,28 +125,28 @@
 def test_the_fastest_agent_with_room_is_chosen_and_then_the_emptiest() -> None:
     view = fleet(1.0, {"a": 2000, "b": 9000, "c": 16000}, {"c": 300})
     request = PlacementRequest("s", Resources(1600, 64))
-    chosen = view.choose(request, view.willing("s", 1.0))
+    chosen = view.choose(request, view.eligible("s", 1.0))
     assert chosen is not None
     assert chosen.process == "b.1"
-    avoided = view.choose(request._replace(avoid=frozenset({"b-x"})), view.willing("s", 1.0))
+    avoided = view.choose(request._replace(avoid=frozenset({"b-x"})), view.eligible("s", 1.0))
     assert avoided is not None
     assert avoided.process == "a.1"
-    assert view.choose(request._replace(requires="z"), view.willing("s", 1.0)) is None
+    assert view.choose(request._replace(requires="z"), view.eligible("s", 1.0)) is None
 
 
 def test_room_assigned_since_the_last_report_is_not_given_away_again() -> None:
     view = fleet(1.0, {"a": 3000})
     agent = view.of("a.1")
     agent.reserve(1, Resources(1600, 64))
-    assert view.choose(PlacementRequest("s", Resources(1600, 64)), view.willing("s", 1.0)) is None
+    assert view.choose(PlacementRequest("s", Resources(1600, 64)), view.eligible("s", 1.0)) is None
     agent.take_load(AgentLoad(2, 1, 3000, 999, 0, 100, 1, 1, 9000), 1.1)
-    assert view.choose(PlacementRequest("s", Resources(1600, 64)), view.willing("s", 1.1)) is agent
+    assert view.choose(PlacementRequest("s", Resources(1600, 64)), view.eligible("s", 1.1)) is agent
 
 
 def test_a_silent_agent_gets_nothing_and_is_over_only_after_every_lease() -> None:
     view = fleet(1.0, {"a": 3000})
-    assert view.willing("s", 1.2)
-    assert not view.willing("s", 1.4)
+    assert view.eligible("s", 1.2)
+    assert not view.eligible("s", 1.4)
     assert not view.is_over("a.1", 2.0)
     assert view.is_over("a.1", 2.2)
 
@@ -309,7 +309,7 @@
 
 def test_a_round_of_placing_looks_at_the_same_number_of_agents_however_many_there_are() -> None:
     view = fleet(1.0, {f"a{number}": 4000 for number in range(3000)})
-    assert len(view.willing("s", 1.0)) == LOOKED_AT
+    assert len(view.eligible("s", 1.0)) == LOOKED_AT
     assert view.capacity_cpu("s", 1.0) == pytest.approx(3000 * 16.0)
     view.forget("a7.1")
     assert "a7.1" not in view.agents
@@ -337,8 +337,8 @@
     agent.state = EndpointState("x", "s", "fd", 16000, 1000, 0, [], True)
     agent.take_load(AgentLoad(1, 0, 16000, 1000, 0, 100, 1, 1, 400), 10.0)
     request = PlacementRequest("s", Resources(1600, 64), estimate_ms=400)
-    assert view.choose(request, view.willing("s", 10.0)) is agent
-    assert view.choose(request._replace(estimate_ms=401), view.willing("s", 10.0)) is None
+    assert view.choose(request, view.eligible("s", 10.0)) is agent
+    assert view.choose(request._replace(estimate_ms=401), view.eligible("s", 10.0)) is None
 
 
 def test_jobs_that_fit_endpoints_about_to_connect_are_kept() -> None:
