--- a/src/gentianmux/config_commands.py
+++ b/src/gentianmux/config_commands.py
@@ -21,7 +21,7 @@
 from .inventory import Imported, diff, read_inventory, read_rules
 from .log_client import HttpLog
 from .output import EXIT_FAILED, EXIT_OK, EXIT_UNKNOWN, Output, spinner
-from .publish import PublishResult, current, publish
+from .publish import PublishResult, publish, read_config
 from .rules import find_faults
 
 LOG_URL = "http://127.0.0.1:7300"
@@ -76,7 +76,7 @@
             for fault in imported.faults:
                 out.note(f"{int(ResultCode.CHANGE_INVALID)} line {fault.line}: {fault.problem}")
             return EXIT_FAILED
-        state = current(self.access.log())
+        state = read_config(self.access.log())
         change = diff(state, imported.items, kinds)
         if self.dry_run:
             return _show_difference(out, state, change)
@@ -112,7 +112,7 @@
     def __call__(self) -> int:
         """Run the command."""
         content = json.loads(self.file.read_text())
-        state = current(self.access.log())
+        state = read_config(self.access.log())
         change = Change(
             self.change_id or str(content.get("change_id") or _change_id()),
             int(content.get("based_on", state.version)),
@@ -131,7 +131,7 @@
 
     def __call__(self) -> int:
         """Run the command."""
-        state = current(self.access.log())
+        state = read_config(self.access.log())
         Output(True).print({"version": state.version, "items": state.items})
         return EXIT_OK
 
@@ -146,7 +146,7 @@
 
     def __call__(self) -> int:
         """Run the command."""
-        newest = current(self.access.log()).version
+        newest = read_config(self.access.log()).version
         versions = {url: _version_at(url) for url in self.urls}
         behind = [url for url, version in versions.items() if version < newest]
         out = self.access.output()
--- a/src/gentianmux/coordinator.py
+++ b/src/gentianmux/coordinator.py
@@ -255,7 +255,7 @@
 
     # Losses
 
-    def on_farewell(self, msg: Farewell, sender: str) -> None:
+    def on_shutdown_notice(self, msg: Farewell, sender: str) -> None:
         """Send a leaving agent nothing more, and tell it once it holds none of our tasks."""
         self._ctx.placement.leaving.add(sender)
         self._ctx.placement.forget(sender)
--- a/src/gentianmux/handlers.py
+++ b/src/gentianmux/handlers.py
@@ -140,7 +140,7 @@
 
 @handle.register
 def _(msg: Farewell, ctx: NodeContext, sender: str) -> None:
-    ctx.coordinator.on_farewell(msg, sender)
+    ctx.coordinator.on_shutdown_notice(msg, sender)
 
 
 @handle.register
--- a/src/gentianmux/leased/admission_controller.py
+++ b/src/gentianmux/leased/admission_controller.py
@@ -12,7 +12,7 @@
     wait_s,
 )
 from .entry_context import EntryContext
-from .job_state import JobState, Prospect
+from .job_state import JobState, Timeliness
 
 NO_AGENT_S = 0.5
 """Seconds a job waits while no agent serves its service at all: a restarted agent needs less."""
@@ -71,9 +71,9 @@
 
     def _carry_out(self, decision: Decision, now: float, entries: int) -> None:
         for job in decision.kept:
-            job.prospect = Prospect.TIMELY
+            job.prospect = Timeliness.TIMELY
         for job in decision.late:
-            job.prospect = Prospect.LATE
+            job.prospect = Timeliness.LATE
             self._ctx.metrics.count("jobs_late_decided")
             logger.bind(
                 job=job.spec.job_id,
--- a/src/gentianmux/leased/endpoint_tracker.py
+++ b/src/gentianmux/leased/endpoint_tracker.py
@@ -8,7 +8,7 @@
 from ..codes import ResultCode
 from ..metrics import Metrics
 from .config_feed import ConfigFeed
-from .endpoint_word import Word, judge
+from .heartbeat_kind import Word, judge
 from .model import EndpointDriver, EndpointReport
 from .resources import NO_RESOURCES
 from .run_table import Finished, RunTable
--- a/src/gentianmux/leased/links.py
+++ b/src/gentianmux/leased/links.py
@@ -38,7 +38,7 @@
 IDLE_TIMEOUT_S = 1.0
 """Seconds without a frame, ten reports or echoes, after which a connection is given up."""
 
-REOPEN_AFTER_S = 0.2
+RECONNECT_AFTER_S = 0.2
 """Seconds without any frame, two echoes, after which a connection may be silent for good."""
 
 REOPEN_INTERVAL_S = 0.3
@@ -154,7 +154,7 @@
         now = self._clock.now()
         if conn is None or now - self._renewed.get(process, -REOPEN_INTERVAL_S) < REOPEN_INTERVAL_S:
             return
-        if now - self._heard[process] < REOPEN_AFTER_S:
+        if now - self._heard[process] < RECONNECT_AFTER_S:
             # It is slow, not silent; more connections would make a full link slower still.
             return
         self._renewed[process] = now
--- a/src/gentianmux/publish.py
+++ b/src/gentianmux/publish.py
@@ -64,7 +64,7 @@
     return None if outcome is None else PublishResult(outcome.code, outcome.offset, outcome.faults)
 
 
-def current(log: PlatformLog) -> ConfigState:
+def read_config(log: PlatformLog) -> ConfigState:
     """The configuration as the log has it now."""
     state = ConfigState()
     Follower(log, STREAM, state).poll()
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -15,7 +15,7 @@
 from gentianmux.leased.backlog import Backlog
 from gentianmux.leased.candidates import Candidates
 from gentianmux.leased.fleet_view import AgentView, FleetView, PlacementRequest
-from gentianmux.leased.job_state import JobState, Prospect
+from gentianmux.leased.job_state import JobState, Timeliness
 from gentianmux.leased.model import JobSpec, QueueConfig, RunOutcome, StepSpec
 from gentianmux.leased.resources import Resources
 from gentianmux.messages import AgentLoad, EndpointState
@@ -37,7 +37,7 @@
         task = one.out()[0]
         one.ended(task.name, task.run, RunOutcome.NO_ROOM)
     else:
-        one.prospect = Prospect.LATE
+        one.prospect = Timeliness.LATE
 
 
 def assert_as_plain(backlog: Backlog, waiting: dict[str, JobState]) -> None:
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -27,8 +27,8 @@
 from bench.leased_world import World
 from gentianmux.leased.agent import Agent
 from gentianmux.leased.directory import Announcement, decode_announcement
-from gentianmux.leased.endpoint_word import Word, judge
 from gentianmux.leased.fleet_view import PlacementRequest
+from gentianmux.leased.heartbeat_kind import Word, judge
 from gentianmux.leased.job_state import JobOutcome
 from gentianmux.leased.model import (
     ActiveRun,
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -13,7 +13,7 @@
 from gentianmux.leased.backlog import Backlog
 from gentianmux.leased.claims import MAX_CLAIMS, claims_of, signature
 from gentianmux.leased.grants import GRANT_S, LATE_RESERVE, PASS_OVER_S, Grants, split
-from gentianmux.leased.job_state import JobState, Prospect
+from gentianmux.leased.job_state import JobState, Timeliness
 from gentianmux.leased.model import JobSpec, QueueConfig, StepSpec
 from gentianmux.leased.resources import NO_RESOURCES, Resources
 from gentianmux.messages import Claim
@@ -204,7 +204,7 @@
 
 def test_claims_sum_up_what_waits_by_urgency() -> None:
     late, first, second = waiting_job(1), waiting_job(2, cpu=2000), waiting_job(3, priority=2)
-    late.prospect = Prospect.LATE
+    late.prospect = Timeliness.LATE
     found = claimed(late, second, first, waiting_job(4))
     assert [(c.cpu, c.least_cpu, c.late, c.priority) for c in found] == [
         (9000, 2000, False, 0),
--- a/tests/test_leased_links.py
+++ b/tests/test_leased_links.py
@@ -10,7 +10,7 @@
 from relay import Relay
 
 from gentianmux.clock import Clock
-from gentianmux.leased.links import REOPEN_AFTER_S, Links
+from gentianmux.leased.links import RECONNECT_AFTER_S, Links
 from gentianmux.leased.model import NoAnswer
 from gentianmux.leased.settings import LeasedSettings
 from gentianmux.messages import PROTOCOL_VERSION, Hello, LoadEcho, Message
@@ -53,7 +53,7 @@
         relay.silence()
         entry.send("a.1", LoadEcho(2, 1, False, []))
         agent.renew("e.1")
-        gevent.sleep(REOPEN_AFTER_S + 0.05)
+        gevent.sleep(RECONNECT_AFTER_S + 0.05)
         assert len(received) == 1
         # Just after a frame the connection counted as slow, and was left alone.
         assert agent._metrics.total("links_renewed") == 0
