--- a/bench/leased_links.py
+++ b/bench/leased_links.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING, Any
 
 from gentianmux.clock import Clock
-from gentianmux.leased.links import IDLE_TIMEOUT_S, RECONNECT_AFTER_S, REOPEN_INTERVAL_S
+from gentianmux.leased.links import IDLE_TIMEOUT_S, RECONNECT_AFTER_S, RECONNECT_INTERVAL_S
 from gentianmux.messages import Hello, Message
 
 if TYPE_CHECKING:
@@ -72,11 +72,11 @@
                 self.close(process)
 
     def reconnect(self, process: str) -> None:
-        """Replace a connection, at most once in ``REOPEN_INTERVAL_S``."""
+        """Replace a connection, at most once in ``RECONNECT_INTERVAL_S``."""
         now = self._world.time
         if now - self.heard.get(process, now) < RECONNECT_AFTER_S:
             return
-        if now - self.renewed.get(process, -REOPEN_INTERVAL_S) >= REOPEN_INTERVAL_S:
+        if now - self.renewed.get(process, -RECONNECT_INTERVAL_S) >= RECONNECT_INTERVAL_S:
             self.renewed[process] = now
             self._world.at(3 * ONE_WAY_S, "", self._world.reopen, self.me.process, process)
 
--- a/src/gentianmux/executor.py
+++ b/src/gentianmux/executor.py
@@ -133,7 +133,7 @@
                 ctx.peers.send(process, Farewell(ctx.process))
         return not left
 
-    def on_farewell_reply(self, msg: FarewellReply) -> None:
+    def on_shutdown_notice_reply(self, msg: FarewellReply) -> None:
         """Note that a coordinator is done with this agent."""
         self._farewells.add(msg.process)
 
@@ -174,7 +174,7 @@
 
     def _may_run(self, member: str) -> bool:
         """Whether a member holds fewer slots here than its part of its claim."""
-        part = self._ctx.claims.part(member, self._ctx.identity.name, self._ctx.now())
+        part = self._ctx.claims.slot_limit(member, self._ctx.identity.name, self._ctx.now())
         return part is None or self._held[member] < part
 
     def _weight(self, member: str) -> int:
--- a/src/gentianmux/handlers.py
+++ b/src/gentianmux/handlers.py
@@ -145,7 +145,7 @@
 
 @handle.register
 def _(msg: FarewellReply, ctx: NodeContext, sender: str) -> None:
-    ctx.executor.on_farewell_reply(msg)
+    ctx.executor.on_shutdown_notice_reply(msg)
 
 
 @handle.register
--- a/src/gentianmux/leased/admission.py
+++ b/src/gentianmux/leased/admission.py
@@ -56,7 +56,7 @@
     earns nothing until its last task has ended. A late job takes only room that no timely one
     waits for, also for the tasks that it has left.
     """
-    late = job.prospect is Timeliness.LATE
+    late = job.timeliness is Timeliness.LATE
     begin_by = job.last_useful_start if late else job.latest_start
     return late, not job.began, job.queue.priority, begin_by
 
@@ -236,20 +236,20 @@
 
     def _next_due_of(self, job: JobState, now: float) -> float:
         """When a job that was kept just now has to be looked at again."""
-        undecided = job.prospect is Timeliness.OPEN and now < due_at(job)
+        undecided = job.timeliness is Timeliness.OPEN and now < due_at(job)
         return due_at(job) if undecided else job.last_useful_start
 
     def begins(self, job: JobState, now: float) -> None:
         """Note that a job begins: late work that delays timely jobs beyond use is a mistake."""
         self._begun.add(job.work_cpu_s, now)
-        if job.prospect is Timeliness.LATE:
+        if job.timeliness is Timeliness.LATE:
             self._late_began_at = now
         elif now > job.latest_start and now - self._late_began_at < MISTAKE_PAUSE_S:
             self._mistaken_at = now
 
     def _keeps(self, job: JobState, load: Load, now: float, decision: Decision) -> bool:
         """Decide one job that has not begun; false when it stops waiting."""
-        if job.prospect is not Timeliness.OPEN:
+        if job.timeliness is not Timeliness.OPEN:
             if now <= job.last_useful_start:
                 return True
             self._mistaken_at = now
--- a/src/gentianmux/leased/admission_controller.py
+++ b/src/gentianmux/leased/admission_controller.py
@@ -71,9 +71,9 @@
 
     def _carry_out(self, decision: Decision, now: float, entries: int) -> None:
         for job in decision.kept:
-            job.prospect = Timeliness.TIMELY
+            job.timeliness = Timeliness.TIMELY
         for job in decision.late:
-            job.prospect = Timeliness.LATE
+            job.timeliness = Timeliness.LATE
             self._ctx.metrics.count("jobs_late_decided")
             logger.bind(
                 job=job.spec.job_id,
@@ -81,7 +81,7 @@
                 useful_ms=round((job.last_useful_start - now) * 1000),
             ).info("late service decided")
         for job in decision.given_up:
-            self._ctx.metrics.count("jobs_kept_in_vain", label=job.prospect.value)
+            self._ctx.metrics.count("jobs_kept_in_vain", label=job.timeliness.value)
             self._ctx.give_up(job, "waited until its answer would be of no use")
         for job, load in decision.refused:
             logger.bind(
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -29,7 +29,7 @@
 from .endpoint_poller import EndpointPoller, LookHooks
 from .endpoint_tracker import EndpointTracker, TrackerHooks
 from .entry_leases import REPORT_INTERVAL_S
-from .entry_reports import EntryReports, Load
+from .entry_reporter import EntryReports, Load
 from .evacuation_broadcast import EvacuationBroadcast
 from .evacuations import Evacuations
 from .grants import LATE_RESERVE
--- a/src/gentianmux/leased/agent_context.py
+++ b/src/gentianmux/leased/agent_context.py
@@ -8,7 +8,7 @@
 from .endpoint_health import EndpointHealth
 from .endpoint_poller import EndpointPoller
 from .endpoint_tracker import EndpointTracker
-from .entry_reports import EntryReports
+from .entry_reporter import EntryReports
 from .links import Links
 from .model import EndpointDriver, EndpointReport, RunOutcome
 from .resources import NO_RESOURCES, Resources
--- a/src/gentianmux/leased/job_state.py
+++ b/src/gentianmux/leased/job_state.py
@@ -95,7 +95,7 @@
         Latency objective: the stretched estimate of the longest chain, and the allowance.
     began : bool
         Whether a task of it was handed to an agent.
-    prospect : Timeliness
+    timeliness : Timeliness
         Whether it is expected to be in time, once that has been decided.
     latest_start : float
         When the job has to begin to meet its objective, by its estimate.
@@ -126,7 +126,7 @@
         self.payload = pack(spec.payload)
         self.bytes_a_task = len(self.payload) // 2 + TASK_BYTES
         self.began = False
-        self.prospect = Timeliness.OPEN
+        self.timeliness = Timeliness.OPEN
         self.may_have_run = False
         self.failed = False
         self.tasks: dict[str, TaskState] = {}
--- a/src/gentianmux/leased/links.py
+++ b/src/gentianmux/leased/links.py
@@ -41,7 +41,7 @@
 RECONNECT_AFTER_S = 0.2
 """Seconds without any frame, two echoes, after which a connection may be silent for good."""
 
-REOPEN_INTERVAL_S = 0.3
+RECONNECT_INTERVAL_S = 0.3
 """Seconds between tries to replace a connection on which nothing gets through."""
 
 
@@ -152,7 +152,10 @@
         """
         conn = self._open.get(process)
         now = self._clock.now()
-        if conn is None or now - self._renewed.get(process, -REOPEN_INTERVAL_S) < REOPEN_INTERVAL_S:
+        if (
+            conn is None
+            or now - self._renewed.get(process, -RECONNECT_INTERVAL_S) < RECONNECT_INTERVAL_S
+        ):
             return
         if now - self._heard[process] < RECONNECT_AFTER_S:
             # It is slow, not silent; more connections would make a full link slower still.
--- a/src/gentianmux/member_claims.py
+++ b/src/gentianmux/member_claims.py
@@ -58,7 +58,7 @@
         self._before: dict[str, dict[str, int]] = {}
         self._changed = float("-inf")
 
-    def part(self, member: str, worker: str, now: float) -> int | None:
+    def slot_limit(self, member: str, worker: str, now: float) -> int | None:
         """Slots of a worker that a member may hold at once; None for no bound."""
         self._follow(now)
         parts = [self._parts.get(member)]
--- a/src/gentianmux/placement.py
+++ b/src/gentianmux/placement.py
@@ -119,7 +119,7 @@
         config, now = self._ctx.config, self._ctx.now()
         named = (config.service(service) or {}).get("workers", [])
         for join in joins:
-            part = self._ctx.claims.part(member, join.name, now)
+            part = self._ctx.claims.slot_limit(member, join.name, now)
             if named and join.name not in named:
                 continue
             if part != 0 and fits(needs, config.worker(join.name)):
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -37,7 +37,7 @@
         task = one.out()[0]
         one.ended(task.name, task.run, RunOutcome.NO_ROOM)
     else:
-        one.prospect = Timeliness.LATE
+        one.timeliness = Timeliness.LATE
 
 
 def assert_as_plain(backlog: Backlog, waiting: dict[str, JobState]) -> None:
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -204,7 +204,7 @@
 
 def test_claims_sum_up_what_waits_by_urgency() -> None:
     late, first, second = waiting_job(1), waiting_job(2, cpu=2000), waiting_job(3, priority=2)
-    late.prospect = Timeliness.LATE
+    late.timeliness = Timeliness.LATE
     found = claimed(late, second, first, waiting_job(4))
     assert [(c.cpu, c.least_cpu, c.late, c.priority) for c in found] == [
         (9000, 2000, False, 0),
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -198,9 +198,9 @@
     assert 0 < len(decision.kept) < 10
     assert 0 < len(decision.late) < 20
     for each in decision.kept:
-        each.prospect = Timeliness.TIMELY
+        each.timeliness = Timeliness.TIMELY
     for each in decision.late:
-        each.prospect = Timeliness.LATE
+        each.timeliness = Timeliness.LATE
     again = admission.decide([*decision.kept, *decision.late], 0.1, due + 0.3)
     assert again == ([], [], [], [])
 
@@ -243,7 +243,7 @@
 
 def test_what_is_kept_is_given_up_once_its_answer_can_be_of_no_use() -> None:
     kept = job(1)
-    kept.prospect = Timeliness.TIMELY
+    kept.timeliness = Timeliness.TIMELY
     assert Admission().decide([kept], 4.0, kept.last_useful_start - 0.01) == ([], [], [], [])
     assert Admission().decide([kept], 4.0, kept.last_useful_start + 0.01).given_up == [kept]
     kept.began = True
@@ -253,7 +253,7 @@
 def test_after_a_job_was_kept_in_vain_none_is_kept_to_be_late_for_a_while() -> None:
     admission = Admission()
     mistaken = job(1)
-    mistaken.prospect = Timeliness.LATE
+    mistaken.timeliness = Timeliness.LATE
     at = mistaken.last_useful_start + 0.01
     assert admission.decide([mistaken], 40.0, at).given_up == [mistaken]
     ahead = job(2, tasks=10, estimate_ms=500, arrived=at)
@@ -270,7 +270,7 @@
 def test_late_work_that_delays_timely_jobs_stops_more_of_it() -> None:
     admission = Admission()
     late, timely = job(1), job(2)
-    late.prospect = Timeliness.LATE
+    late.timeliness = Timeliness.LATE
     now = timely.latest_start + 0.01
     admission.begins(timely, now)
     ahead = job(3, tasks=10, estimate_ms=500)
@@ -294,7 +294,7 @@
 def test_late_jobs_go_last_also_with_the_tasks_that_they_have_left() -> None:
     begun, late, begun_late = job(1, estimate_ms=2000), job(2, estimate_ms=100), job(3)
     begun.began = begun_late.began = True
-    late.prospect = begun_late.prospect = Timeliness.LATE
+    late.timeliness = begun_late.timeliness = Timeliness.LATE
     timely = job(4, estimate_ms=2000)
     jobs = [begun_late, late, timely, begun]
     assert sorted(jobs, key=urgency) == [begun, timely, begun_late, late]
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -43,11 +43,11 @@
     state = ConfigState()
     put(state, 0, {**WORKERS, "member/m": {"claim": 0.5}})
     claims = Claims(state)
-    assert claims.part("m", "a0", 0.0) == 4
+    assert claims.slot_limit("m", "a0", 0.0) == 4
     put(state, 1, {"member/m": {"claim": 0.75}})
-    assert claims.part("m", "a0", 1.0) == 4
-    assert claims.part("m", "a0", 1.0 + SETTLE_S) == 6
-    assert claims.part("other", "a0", 1.0) is None
+    assert claims.slot_limit("m", "a0", 1.0) == 4
+    assert claims.slot_limit("m", "a0", 1.0 + SETTLE_S) == 6
+    assert claims.slot_limit("other", "a0", 1.0) is None
 
 
 def test_a_member_takes_at_most_half_of_an_entry() -> None:
