--- a/bench/leased_capacity.py
+++ b/bench/leased_capacity.py
@@ -26,7 +26,7 @@
     rng = Random(1)
     view = FleetView(0.55, rng)
     for number in range(agents):
-        agent = view.of(f"side-{number}.1764690000000")
+        agent = view.get_or_add(f"side-{number}.1764690000000")
         agent.state = EndpointState(
             f"i-{number}", "s", "fd1", 16000, 65536, 0, ["a", f"r{number // 3}"], True
         )
--- a/bench/leased_speed.py
+++ b/bench/leased_speed.py
@@ -165,7 +165,7 @@
             if number % 100 == 0:
                 # The others were heard of as well.
                 for name in names:
-                    self.view.of(name).heard_at = self.clock.time
+                    self.view.get_or_add(name).heard_at = self.clock.time
             self.end_some(names[number % len(names)])
             if number % (TASKS // PER_REPORT) == 0:
                 self.submit()
--- a/bench/scenario.py
+++ b/bench/scenario.py
@@ -46,17 +46,17 @@
     ----------
     rooms, speeds : tuple
         Thousandths of a core, and work done in a second, of each endpoint.
-    shares : tuple of float
+    shares : tuple get_or_add float
         Parts of the traffic of the entries.
-    kinds : tuple of Kind
+    kinds : tuple get_or_add Kind
         The jobs.
-    task_cpu : tuple of float
+    task_cpu : tuple get_or_add float
         Mean, deviation, least and most thousandths of a core of a task.
     misjudged : float
         How far estimates are off at most, as a part of the work.
     seconds : float
         How long jobs come.
-    burst : tuple of float
+    burst : tuple get_or_add float
         From when to when they come at the multiple that is played.
     power : Power or None
         A loss of power.
--- a/src/gentianmux/executor.py
+++ b/src/gentianmux/executor.py
@@ -158,7 +158,7 @@
         """Note who holds this agent's start records now."""
         self._records_held_by = msg.process
 
-    def run_renewals(self) -> None:
+    def run_lease_renewals(self) -> None:
         """Renew the leases of long tasks for as long as the process lives."""
         period_s = self._ctx.cfg.task_lease_ms / 1000 / RENEWALS_A_LEASE
         while True:
--- a/src/gentianmux/frames.py
+++ b/src/gentianmux/frames.py
@@ -45,7 +45,7 @@
 
     Parameters
     ----------
-    chunks : iterable of bytes
+    chunks : iterable get_or_add bytes
         Pieces of the stream, cut anywhere.
     key : bytes
         The fleet's key, at most 64 bytes.
--- a/src/gentianmux/inventory.py
+++ b/src/gentianmux/inventory.py
@@ -133,7 +133,7 @@
         The configuration as it is.
     wanted : dict
         The items that shall stand.
-    kinds : iterable of str
+    kinds : iterable get_or_add str
         Kinds that the import speaks for; their other items are removed.
 
     Returns
--- a/src/gentianmux/job.py
+++ b/src/gentianmux/job.py
@@ -82,7 +82,7 @@
         The submission that was admitted.
     shard, epoch : int
         Under which the job is coordinated.
-    specs : list of TaskSpec
+    specs : list get_or_add TaskSpec
         Its tasks.
     now : float
         Monotonic time in seconds.
--- a/src/gentianmux/leased/admission.py
+++ b/src/gentianmux/leased/admission.py
@@ -146,13 +146,13 @@
 
     Attributes
     ----------
-    refused : list of Refusal
+    refused : list get_or_add Refusal
         Jobs that cannot begin while their answer is of use.
-    kept : list of JobState
+    kept : list get_or_add JobState
         Jobs that can be in time.
-    late : list of JobState
+    late : list get_or_add JobState
         Jobs that cannot, but can end while their answer is of use.
-    given_up : list of JobState
+    given_up : list get_or_add JobState
         Jobs that were kept, and have waited until their answer can be of no use any more.
     """
 
@@ -203,7 +203,7 @@
 
         Parameters
         ----------
-        waiting : iterable of JobState
+        waiting : iterable get_or_add JobState
             The backlog of a service, most urgent first.
         capacity_cpu : float
             Cores that this entry's backlog can count on.
--- a/src/gentianmux/leased/admission_controller.py
+++ b/src/gentianmux/leased/admission_controller.py
@@ -50,7 +50,7 @@
     def _decide_service(self, service: str, admission: Admission, now: float) -> None:
         view = self._ctx.view
         entries = max(1, view.entries(now))
-        jobs = self._ctx.backlog.of(service)
+        jobs = self._ctx.backlog.get_or_add(service)
         capacity = view.capacity_cpu(service, now) / entries
         if self._ctx.window.is_limiting(now):
             # More cannot be sent, however many endpoints stand idle.
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -41,7 +41,7 @@
 )
 from .payloads import unpack
 from .resources import Resources
-from .run_starts import RunStarts
+from .run_starter import RunStarts
 from .run_stops import RunStops
 from .run_table import Finished, RunTable
 from .run_watch import RunWatch
--- a/src/gentianmux/leased/backlog.py
+++ b/src/gentianmux/leased/backlog.py
@@ -102,7 +102,7 @@
     Examples
     --------
     ``backlog.put(job)`` when tasks of a job wait, also after its urgency has changed;
-    ``backlog.of("intake")`` gives what waits for a service, the most urgent first.
+    ``backlog.get_or_add("intake")`` gives what waits for a service, the most urgent first.
     """
 
     def __init__(self) -> None:
@@ -124,7 +124,7 @@
         """Services for which something waits."""
         return list(self._queues)
 
-    def of(self, service: str) -> list[JobState]:
+    def get_or_add(self, service: str) -> list[JobState]:
         """Jobs that wait for a service, the most urgent first."""
         queue = self._queues.get(service)
         return [] if queue is None else [place.job for place in queue.places]
--- a/src/gentianmux/leased/candidates.py
+++ b/src/gentianmux/leased/candidates.py
@@ -22,7 +22,7 @@
     ----------
     view : FleetView
         Weighs agents.
-    agents : iterable of AgentView
+    agents : iterable get_or_add AgentView
         Those that are willing.
 
     Examples
--- a/src/gentianmux/leased/claims.py
+++ b/src/gentianmux/leased/claims.py
@@ -21,7 +21,7 @@
 
     Parameters
     ----------
-    demands : iterable of Demand
+    demands : iterable get_or_add Demand
         What waits for one service, most urgent first.
     now : float
         Monotonic time in seconds.
--- a/src/gentianmux/leased/config_feed.py
+++ b/src/gentianmux/leased/config_feed.py
@@ -72,7 +72,7 @@
 
     Examples
     --------
-    ``feed.offered(raw, "entry e1")`` takes a version in when it is newer than the present one.
+    ``feed.apply_if_newer(raw, "entry e1")`` takes a version in when it is newer than the present one.
     """
 
     def __init__(
@@ -99,7 +99,7 @@
             self._has_one.wait(patience_s)
         return self.current
 
-    def offered(self, raw: bytes, origin: str) -> None:
+    def apply_if_newer(self, raw: bytes, origin: str) -> None:
         """Take in a configuration from a peer or the store, if it is newer and can be read."""
         try:
             config = self._source.decode(raw)
@@ -138,7 +138,7 @@
         listed = filter(None, map(self._source.evacuated_domain, newest.values))
         self.evacuations.apply_snapshot(listed, newest.end)
         if self._source.key in newest.values:
-            self.offered(newest.values[self._source.key], "store")
+            self.apply_if_newer(newest.values[self._source.key], "store")
         return newest.end
 
     def _follow(self, offset: int) -> int:
@@ -151,5 +151,5 @@
         self.evacuations.apply_changes(evacuations, changes.end)
         for key, value in changes.values:
             if key == self._source.key and value:
-                self.offered(value, "store")
+                self.apply_if_newer(value, "store")
         return changes.end
--- a/src/gentianmux/leased/config_transfer.py
+++ b/src/gentianmux/leased/config_transfer.py
@@ -103,7 +103,7 @@
         except zlib.error as exc:
             logger.bind(peer=process, reason=str(exc)).error("configuration unreadable")
             return
-        self._feed.offered(raw, f"peer {process}")
+        self._feed.apply_if_newer(raw, f"peer {process}")
 
     def on_wanted(self, msg: ConfigWanted, process: str) -> None:
         """Give a peer the piece that it asks for, in its turn."""
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -155,7 +155,7 @@
 
     @on_message.register
     def _(self, msg: AgentLoad, agent: str) -> None:
-        view = self._ctx.view.of(agent)
+        view = self._ctx.view.get_or_add(agent)
         now = self._ctx.clock.now()
         view.take_load(msg, now)
         self._ctx.window.told(agent, msg.applied, now)
@@ -169,7 +169,7 @@
 
     @on_message.register
     def _(self, msg: EndpointState, agent: str) -> None:
-        view = self._ctx.view.of(agent)
+        view = self._ctx.view.get_or_add(agent)
         before = view.state
         view.state = msg
         view.heard_at = self._ctx.clock.now()
@@ -185,7 +185,7 @@
     def _(self, msg: EndedRuns, agent: str) -> None:
         for row in msg.runs:
             self._ends.take(agent, row.task, row.run, RunOutcome(row.how))
-        view = self._ctx.view.of(agent)
+        view = self._ctx.view.get_or_add(agent)
         if msg.runs:
             view.seen = max(view.seen, msg.runs[-1].number)
         if view.is_leaving:
@@ -221,7 +221,7 @@
         self._ends.opened_at[hello.process] = self._ctx.clock.now()
         self._ctx.window.forget(hello.process)
         # The connection may have taken the place of a silent one, and the chain be nearly over.
-        self._ctx.view.of(hello.process).echoed_at = 0.0
+        self._ctx.view.get_or_add(hello.process).echoed_at = 0.0
 
     def _on_close(self, agent: str) -> None:
         """Keep what the agent holds until it is surely over: it may connect again."""
--- a/src/gentianmux/leased/evacuation_broadcast.py
+++ b/src/gentianmux/leased/evacuation_broadcast.py
@@ -43,7 +43,7 @@
     def take(self, msg: Evacuated, process: str) -> None:
         """Take in what a peer knows."""
         told = Evacuations(msg.position, tuple(msg.failure_domains))
-        self._feed.offered(told, f"peer {process}")
+        self._feed.apply_if_newer(told, f"peer {process}")
 
     def _changed(self, evacuations: Evacuations) -> None:
         self._act(evacuations)
--- a/src/gentianmux/leased/evacuations.py
+++ b/src/gentianmux/leased/evacuations.py
@@ -19,7 +19,7 @@
     position : int
         Offset up to which the topic was read; of two accounts the one with the higher is newer,
         whoever read it.
-    failure_domains : tuple of str
+    failure_domains : tuple get_or_add str
         In the order of their names.
     """
 
@@ -84,9 +84,9 @@
         self._take_listed(position)
 
     def _take_listed(self, position: int) -> None:
-        self.offered(Evacuations(position, tuple(sorted(self._listed))), "store")
+        self.apply_if_newer(Evacuations(position, tuple(sorted(self._listed))), "store")
 
-    def offered(self, evacuations: Evacuations, origin: str) -> None:
+    def apply_if_newer(self, evacuations: Evacuations, origin: str) -> None:
         """Take in an account from a peer or the store, if it is newer."""
         before = self.current
         if evacuations.position <= before.position:
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -146,7 +146,7 @@
 
     Attributes
     ----------
-    evacuated : tuple of str
+    evacuated : tuple get_or_add str
         Failure domains whose agents get nothing new and count as no capacity.
     """
 
@@ -158,7 +158,7 @@
         self._lease_s = lease_s
         self._rng = rng
 
-    def of(self, process: str) -> AgentView:
+    def get_or_add(self, process: str) -> AgentView:
         """The view of an agent's process, made when it is new."""
         view = self.agents.get(process)
         if view is None:
--- a/src/gentianmux/leased/grants.py
+++ b/src/gentianmux/leased/grants.py
@@ -157,7 +157,7 @@
 
         Parameters
         ----------
-        entries : sequence of str
+        entries : sequence get_or_add str
             All that the endpoint is shared with, in the order in which they get what cannot be
             split evenly.
         free : Resources
--- a/src/gentianmux/leased/model.py
+++ b/src/gentianmux/leased/model.py
@@ -22,7 +22,7 @@
         What each of them takes.
     estimate_ms : int
         The caller's rough estimate of one task's run time.
-    after : tuple of int
+    after : tuple get_or_add int
         Steps whose tasks must all be done first.
     requires : str
         Label that the endpoint must have; empty for none.
--- a/src/gentianmux/leased/neighbours.py
+++ b/src/gentianmux/leased/neighbours.py
@@ -31,9 +31,9 @@
     ----------
     agent : str
         Name of the agent's instance.
-    entries : iterable of str
+    entries : iterable get_or_add str
         Names of all entries that it has heard of.
-    connected : iterable of str
+    connected : iterable get_or_add str
         Those to which a connection is open.
 
     Returns
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placing.py
@@ -84,7 +84,7 @@
         candidates = Candidates(view, view.eligible(service, now))
         too_large: Resources | None = None
         planned = 0
-        for job in self._ctx.backlog.of(service) if len(candidates) else ():
+        for job in self._ctx.backlog.get_or_add(service) if len(candidates) else ():
             if planned >= self._ctx.window.left():
                 self._ctx.window.hold_back(now)
                 break
@@ -115,7 +115,7 @@
         if chosen and not began:
             self._admissions[job.queue.service].begins(job, now)
         if chosen:
-            oldest = min(self._ctx.view.of(process).heard_at for process in chosen)
+            oldest = min(self._ctx.view.get_or_add(process).heard_at for process in chosen)
             logger.bind(
                 job=job.spec.job_id,
                 agents=dict(chosen),
@@ -177,7 +177,7 @@
         return frozenset(task.avoid) if others else frozenset()
 
     def _assign(self, process: str, tasks: list[LeasedTask]) -> None:
-        agent = self._ctx.view.of(process)
+        agent = self._ctx.view.get_or_add(process)
         agent.assigned += 1
         self._ctx.metrics.count("runs_assigned", len(tasks))
         claims = [] if agent.state is None else self._ctx.claims(agent.state.service)
--- a/src/gentianmux/leased/run_completions.py
+++ b/src/gentianmux/leased/run_completions.py
@@ -57,7 +57,7 @@
             return
         self._ctx.metrics.count("runs_back", label=how.name.lower())
         if how in (RunOutcome.NOT_STARTED, RunOutcome.DRAINING):
-            self._ctx.view.of(agent).failed_until = self._ctx.clock.now() + REFUSED_PAUSE_S
+            self._ctx.view.get_or_add(agent).failed_until = self._ctx.clock.now() + REFUSED_PAUSE_S
         if how not in (RunOutcome.DONE, RunOutcome.NO_ROOM):
             logger.bind(task=name, run=run, peer=agent, how=how.name.lower()).info("run came back")
         if job.failed:
--- a/src/gentianmux/leased/settings.py
+++ b/src/gentianmux/leased/settings.py
@@ -22,7 +22,7 @@
         ``ip:port`` where an entry is asked whether it is ready; empty for none.
     metrics_address : str
         ``ip:port`` where metrics are read.
-    seeds : tuple of str
+    seeds : tuple get_or_add str
         Peer addresses of processes to contact first.
     endpoint_address : str
         ``ip:port`` of the endpoint beside an agent.
--- a/src/gentianmux/listeners.py
+++ b/src/gentianmux/listeners.py
@@ -17,7 +17,7 @@
 
     Parameters
     ----------
-    addresses : iterable of str
+    addresses : iterable get_or_add str
         ``ip:port`` of each.
 
     Raises
--- a/src/gentianmux/losses.py
+++ b/src/gentianmux/losses.py
@@ -119,7 +119,7 @@
 
     Parameters
     ----------
-    lines : iterable of str
+    lines : iterable get_or_add str
         Lines of all logs.
 
     Returns
--- a/src/gentianmux/member_claims.py
+++ b/src/gentianmux/member_claims.py
@@ -16,7 +16,7 @@
     ----------
     claim : float
         Greatest share of the pool, 0 to 1.
-    slots : mapping of str to int
+    slots : mapping get_or_add str to int
         Slots by worker, for the whole inventory.
 
     Returns
--- a/src/gentianmux/node.py
+++ b/src/gentianmux/node.py
@@ -94,7 +94,7 @@
         if self.ctx.is_agent:
             ctx = self.ctx
             loops += [ctx.shard_manager.run_leases, ctx.coordinator.run_backlog]
-            loops += [ctx.executor.run_renewals]
+            loops += [ctx.executor.run_lease_renewals]
         self._loops = [gevent.spawn(loop) for loop in loops]
         logger.info("started as {} on {}", self.ctx.identity.role, self.ctx.cfg.peer_address)
 
@@ -129,7 +129,7 @@
                 logger.warning("gave up draining with work in flight")
                 return False
             if ctx.is_agent:
-                ctx.shard_manager.moves.release_all()
+                ctx.shard_manager.moves.move_all_away()
             gevent.sleep(DRAIN_STEP_S)
         self.stream_reader.leave(self._hand_over_records(until))
         return True
--- a/src/gentianmux/routing.py
+++ b/src/gentianmux/routing.py
@@ -115,7 +115,7 @@
     ----------
     count : int
         Tasks to place.
-    candidates : iterable of Candidate
+    candidates : iterable get_or_add Candidate
         Agents that may take them.
     rng : Random
         Source for samples and ties.
@@ -143,7 +143,7 @@
         Tasks that wait.
     asked : int
         Reservations that are out already.
-    candidates : list of Candidate
+    candidates : list get_or_add Candidate
         Agents that may be asked.
     rng : Random
         Source of the choice.
--- a/src/gentianmux/rules.py
+++ b/src/gentianmux/rules.py
@@ -128,7 +128,7 @@
         All items as they would be after the change.
     changed : mapping
         The items that the change sets.
-    removed : list of str
+    removed : list get_or_add str
         The items that the change removes.
 
     Yields
--- a/src/gentianmux/settings.py
+++ b/src/gentianmux/settings.py
@@ -138,9 +138,9 @@
 
     Parameters
     ----------
-    flags : mapping of str to str
+    flags : mapping get_or_add str to str
         Texts by setting, only those that were given.
-    env : mapping of str to str, optional
+    env : mapping get_or_add str to str, optional
         The environment.
 
     Returns
--- a/src/gentianmux/shard_moves.py
+++ b/src/gentianmux/shard_moves.py
@@ -135,7 +135,7 @@
         record = Handover(self._ctx.process, sender, self._ctx.now_ms(), [change])
         self._shard_manager.append_change(record)
 
-    def release_all(self) -> None:
+    def move_all_away(self) -> None:
         """Move every shard away, since this agent is leaving."""
         agents = [each for each in self._shard_manager.live_agents() if each != self._ctx.process]
         for number in list(self._shard_manager.owned):
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -43,8 +43,8 @@
 def assert_as_plain(backlog: Backlog, waiting: dict[str, JobState]) -> None:
     for service in "st":
         mine = [each for each in waiting.values() if each.queue.service == service]
-        assert [urgency(each) for each in backlog.of(service)] == sorted(map(urgency, mine))
-        assert {id(each) for each in backlog.of(service)} == set(map(id, mine))
+        assert [urgency(each) for each in backlog.get_or_add(service)] == sorted(map(urgency, mine))
+        assert {id(each) for each in backlog.get_or_add(service)} == set(map(id, mine))
         demands = backlog.demands(service)
         kinds = sorted({urgency(each)[:3] for each in mine})
         assert [demand.kind for demand in demands] == kinds
@@ -86,7 +86,7 @@
 def fleet(rng: Random, agents: int = 12) -> FleetView:
     view = FleetView(0.55, rng)
     for number in range(agents):
-        agent = view.of(f"w{number}.1")
+        agent = view.get_or_add(f"w{number}.1")
         agent.state = EndpointState(f"x{number}", "s", "fd", 16000, 9999, 0, ["a", "b"], True)
         cpu, slow = rng.randrange(0, 16000), rng.choice([80, 100, 150])
         longest_ms = rng.choice([50, 9000])
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -327,7 +327,7 @@
     endpoint = world.machines["w0"].endpoint
     task = LeasedTask("00000000000000aa.0.0.0", 1, 0, 1600, 64, 0, 200)
     world.works[task.name] = (StepSpec(1, Resources(1600, 64), 200), Work(0.2))
-    echo = world.entries["e0"].view.of("w0.1").newest_load  # type: ignore[union-attr]
+    echo = world.entries["e0"].view.get_or_add("w0.1").newest_load  # type: ignore[union-attr]
     agent.on_message(Assign(echo, 1, [task], [], [pack("x")]), "e0.1")
     assert (task.name, 1) in agent.table.runs
     endpoint.born += 1
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -182,15 +182,15 @@
 @pytest.mark.parametrize("position", [3, 7])
 def test_an_account_that_is_no_newer_changes_nothing(position: int) -> None:
     known = feed()
-    known.offered(Evacuations(7, ("fd1",)), "peer")
-    known.offered(Evacuations(position, ()), "peer")
+    known.apply_if_newer(Evacuations(7, ("fd1",)), "peer")
+    known.apply_if_newer(Evacuations(position, ()), "peer")
     assert known.current == Evacuations(7, ("fd1",))
 
 
 def test_a_store_that_lags_behind_a_peer_does_not_bring_an_evacuation_back() -> None:
     known = feed()
     known.apply_snapshot(["fd1"], 4)
-    known.offered(Evacuations(6, ("fd2",)), "peer")
+    known.apply_if_newer(Evacuations(6, ("fd2",)), "peer")
     known.apply_changes([], 5)
     assert known.current.failure_domains == ("fd2",)
     known.apply_changes([("fd1", False), ("fd2", True)], 7)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -331,7 +331,7 @@
     world.run(0.1)
     owner.ctx.draining = True
     epoch = world.row("a").epoch
-    owner.ctx.shard_manager.moves.release_all()
+    owner.ctx.shard_manager.moves.move_all_away()
     for _ in range(80):
         world.run(0.1)
     assert world.row("a").epoch == epoch
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_parts.py
@@ -115,7 +115,7 @@
 def fleet(now: float, frees: dict[str, int], slowness: dict[str, int] | None = None) -> FleetView:
     view = FleetView(0.55, Random(1))
     for name, cpu in frees.items():
-        agent = view.of(f"{name}.1")
+        agent = view.get_or_add(f"{name}.1")
         agent.state = EndpointState(f"{name}-x", "s", "fd1", 16000, 999, 0, ["a"], True)
         load = AgentLoad(1, 0, cpu, 999, 0, (slowness or {}).get(name, 100), 1, 1, 9000)
         agent.take_load(load, now)
@@ -136,7 +136,7 @@
 
 def test_room_assigned_since_the_last_report_is_not_given_away_again() -> None:
     view = fleet(1.0, {"a": 3000})
-    agent = view.of("a.1")
+    agent = view.get_or_add("a.1")
     agent.reserve(1, Resources(1600, 64))
     assert view.choose(PlacementRequest("s", Resources(1600, 64)), view.eligible("s", 1.0)) is None
     agent.take_load(AgentLoad(2, 1, 3000, 999, 0, 100, 1, 1, 9000), 1.1)
@@ -322,7 +322,7 @@
         view.expect(node, "s", "fd1", 16000, 10.0)
     view.expect("w3", "other", "fd1", 16000, 10.0)
     assert view.capacity_cpu("s", 10.1) == 32.0
-    agent = view.of("w1.5")
+    agent = view.get_or_add("w1.5")
     agent.state = EndpointState("x", "s", "fd", 16000, 1000, 0, [], True)
     agent.take_load(AgentLoad(1, 0, 100, 10, 0, 100, 1, 1, 9000), 10.2)
     assert view.capacity_cpu("s", 10.3) == 32.0
@@ -333,7 +333,7 @@
 
 def test_a_leaving_agent_is_asked_only_for_what_can_end() -> None:
     view = FleetView(0.55, Random(1))
-    agent = view.of("w1.5")
+    agent = view.get_or_add("w1.5")
     agent.state = EndpointState("x", "s", "fd", 16000, 1000, 0, [], True)
     agent.take_load(AgentLoad(1, 0, 16000, 1000, 0, 100, 1, 1, 400), 10.0)
     request = PlacementRequest("s", Resources(1600, 64), estimate_ms=400)
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -453,7 +453,7 @@
     agent = world.machines["w0"].agent
     assert agent is not None
     task = LeasedTask(f"{first.spec.job_id}.0.0.0", 5, 0, 1600, 64, 0, 3000)
-    echo = world.entries["e1"].view.of(world.process_of("w0")).newest_load  # type: ignore[union-attr]
+    echo = world.entries["e1"].view.get_or_add(world.process_of("w0")).newest_load  # type: ignore[union-attr]
     agent.on_message(Assign(echo, 1, [task], [], [pack("x")]), world.process_of("e1"))
     agent.on_message(Withdraw([RunRef(task.name, 5)]), world.process_of("e1"))
     world.run(1.0)
@@ -580,12 +580,12 @@
     feeds = [node.entry._ctx.feed for node in world.entries.values() if node.entry]
     assert [feed.version for feed in feeds] == [1, 1, 1]
     world.config = world.config._replace(version=7, raw=b"7")
-    feeds[1].offered(b"7", "store")
+    feeds[1].apply_if_newer(b"7", "store")
     world.run(0.5)
     assert [feed.version for feed in feeds] == [7, 7, 7]
     world.kill(world.process_of("e2"))
     world.config = world.config._replace(version=9, raw=b"9")
-    feeds[0].offered(b"9", "store")
+    feeds[0].apply_if_newer(b"9", "store")
     world.run(0.4)
     world.start_entry("e2")
     restarted = world.entries["e2"].entry
@@ -631,7 +631,7 @@
     world.config = world.config._replace(version=7, raw=raw)
     for node in world.entries.values():
         assert node.entry is not None
-        node.entry._ctx.feed.offered(raw, "store")
+        node.entry._ctx.feed.apply_if_newer(raw, "store")
     jobs = []
     for _ in range(30):
         jobs += [world.submit(name, tasks=4, run_s=0.3) for name in world.entries]
@@ -651,7 +651,7 @@
     world.config = world.config._replace(version=7, raw=raw)
     feeds = [node.entry._ctx.feed for node in world.entries.values() if node.entry]
     for feed in feeds:
-        feed.offered(raw, "store")
+        feed.apply_if_newer(raw, "store")
     world.run(4.0)
     once = sum(world.bytes_sent.values())
     # Incompressible: the four agents take it in once each, 400 KB, beside echoes.
--- a/tests/test_listeners.py
+++ b/tests/test_listeners.py
@@ -72,7 +72,7 @@
     assert feed.first(0.01) is None
     waiting = gevent.spawn(feed.first, 5.0)
     gevent.sleep(0)
-    feed.offered(b"1", "store")
+    feed.apply_if_newer(b"1", "store")
     with suppress(gevent.Timeout):
         assert waiting.get(timeout=1) is config
     assert waiting.ready()
