--- a/src/gentianmux/leased/connecting.py
+++ b/src/gentianmux/leased/connectors.py
@@ -7,7 +7,7 @@
 from .directory import Announcement, Directory
 from .links import Links
 from .model import instance_of
-from .neighbours import ENTRIES_PER_AGENT, is_preferred, wanted
+from .rendezvous import ENTRIES_PER_AGENT, is_preferred, wanted
 
 if TYPE_CHECKING:
     from .agent import Agent
--- a/src/gentianmux/leased/process.py
+++ b/src/gentianmux/leased/process.py
@@ -143,7 +143,7 @@
 
 
 def _find_entries(agent: "Agent", directory: Directory, base: Process) -> None:
-    from .connecting import SETTLE_S, EntryNeighbours
+    from .connectors import SETTLE_S, EntryNeighbours
 
     found = directory.read() or []
     _resume_endpoint(agent, found, base.cfg)
@@ -175,7 +175,7 @@
     stopping : Event
         Set when the process is to end.
     """
-    from .connecting import AgentNeighbours
+    from .connectors import AgentNeighbours
     from .entry import Entry
     from .fleet_view import FleetView
 
--- a/tests/test_leased_neighbours.py
+++ b/tests/test_connectors.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from gentianmux.leased.connecting import SETTLE_S, AgentNeighbours, EntryNeighbours
+from gentianmux.leased.connectors import SETTLE_S, AgentNeighbours, EntryNeighbours
 from gentianmux.leased.directory import Announcement
-from gentianmux.leased.neighbours import ENTRIES_PER_AGENT, is_preferred, ranked, wanted
+from gentianmux.leased.rendezvous import ENTRIES_PER_AGENT, is_preferred, ranked, wanted
 
 
 class FakeLinks:
