--- a/deploy/run.py
+++ b/deploy/run.py
@@ -1,4 +1,4 @@
-"""Runs a role of gentianmux from a checkout: ``python3 deploy/run.py entry``."""
+"""Runs an entry or agent from a checkout: ``python3 deploy/run.py entry``."""
 
 import os
 import sys
--- a/src/gentianmux/leased/__init__.py
+++ b/src/gentianmux/leased/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs whose tasks run under leases: an entry coordinates, agents guard the endpoints."""
+"""Jobs whose tasks run under leases: entries coordinate jobs, agents control the endpoints."""
--- a/src/gentianmux/leased/config_feed.py
+++ b/src/gentianmux/leased/config_feed.py
@@ -1,4 +1,4 @@
-"""What operators say: read from the store, handed on by peers, never going back."""
+"""The newest configuration and evacuations, read from the store or received from peers."""
 
 from collections.abc import Callable
 
@@ -13,30 +13,30 @@
 from .evacuations import EvacuationFeed
 from .model import JobConfig
 
-WATCH_S = 1.5
-"""Seconds that a read waits for a change, which is answered at once. With the spare time of a read
-it bounds how long a connection to the store that went silent goes unnoticed, and stays below the
-3 s after which a configuration has to be in force again."""
+LONG_POLL_S = 1.5
+"""Time that a read waits for a change. Together with the margin of a read it bounds how long a
+stalled connection to the store goes unnoticed, and must stay below the 3 s within which a new
+configuration has to be in force."""
 
-AGAIN_S = 0.25
-"""Seconds between tries while the store does not answer: several within its shortest outage."""
+RETRY_DELAY_S = 0.25
+"""Time between attempts while the store does not answer."""
 
 Decode = Callable[[bytes], JobConfig]
 
 
 class ConfigSource:
-    """Where operators' words lie in the store, and how they are read.
+    """Location and format of the configuration and evacuations in the store.
 
     Parameters
     ----------
     topic : str
-        The operators' topic.
+        Topic that operators write to.
     key : str
         Key of the configuration.
     decode : callable
-        Decodes it.
+        Decodes a configuration; raises ``GentianmuxError`` when it is invalid.
     evacuation_prefix : str
-        How the keys of evacuations begin; the rest names a failure domain.
+        Prefix of the keys of evacuations; the rest is the name of a failure domain.
     """
 
     def __init__(self, topic: str, key: str, decode: Decode, evacuation_prefix: str) -> None:
@@ -46,33 +46,40 @@
         self.evacuation_prefix = evacuation_prefix
 
     def evacuated_domain(self, key: str) -> str:
-        """The failure domain that a record evacuates; empty for any other record."""
+        """Failure domain that the record of a key evacuates; empty for any other record."""
         prefix = self.evacuation_prefix
         return key.removeprefix(prefix) if key.startswith(prefix) else ""
 
 
 class ConfigFeed:
-    """Keeps the newest configuration that this process has seen, and the evacuations beside it.
+    """Holds the newest configuration seen by this process, and the evacuations.
+
+    Versions only rise: an older configuration, from whatever source, is ignored.
 
     Parameters
     ----------
     source : ConfigSource
-        Topic, key and decoder.
+        Topic, keys and decoder.
     store : KeyedLog
         The platform's store.
     metrics : Metrics
         Counters.
     clock : Clock
-        Time.
+        Source of monotonic time.
 
     Attributes
     ----------
+    current : JobConfig or None
+        The configuration in force.
+    on_change : callable
+        Called with each configuration that comes into force.
     evacuations : EvacuationFeed
-        Which failure domains are evacuated.
+        Failure domains that are evacuated.
 
     Examples
     --------
-    ``feed.apply_if_newer(raw, "entry e1")`` takes a version in when it is newer than the present one.
+    ``feed.apply_if_newer(raw, "entry e1")`` puts a newer configuration in force;
+    ``feed.wait_for_config(0.5)`` returns the current one.
     """
 
     def __init__(
@@ -81,7 +88,7 @@
         self.current: JobConfig | None = None
         self.on_change: Callable[[JobConfig], None] = lambda config: None
         self.evacuations = EvacuationFeed(metrics)
-        self._has_one = Event()
+        self._config_ready = Event()
         self._source = source
         self._store = store
         self._metrics = metrics
@@ -90,17 +97,17 @@
 
     @property
     def version(self) -> int:
-        """Version of the present configuration, -1 for none."""
+        """Version of the configuration in force; -1 for none."""
         return -1 if self.current is None else self.current.version
 
-    def first(self, patience_s: float) -> JobConfig | None:
-        """The present configuration; waits for one while there is none yet."""
+    def wait_for_config(self, timeout_s: float) -> JobConfig | None:
+        """The configuration in force; waits up to ``timeout_s`` seconds for the first one."""
         if self.current is None:
-            self._has_one.wait(patience_s)
+            self._config_ready.wait(timeout_s)
         return self.current
 
     def apply_if_newer(self, raw: bytes, origin: str) -> None:
-        """Take in a configuration from a peer or the store, if it is newer and can be read."""
+        """Put a configuration in force if it is valid and newer than the current one."""
         try:
             config = self._source.decode(raw)
         except GentianmuxError as exc:
@@ -115,34 +122,34 @@
             "configuration in force"
         )
         self.current = config
-        self._has_one.set()
+        self._config_ready.set()
         self._metrics.gauge("config_version", config.version)
         self.on_change(config)
 
     def run(self) -> None:
-        """Follow the store for as long as the process lives."""
+        """Follow the store until the process ends."""
         run_periodically(0.0, self.follow_once)
 
     def follow_once(self) -> None:
-        """Take in what has come since the last call, waiting for it."""
+        """Apply the changes since the last call, waiting up to ``LONG_POLL_S`` for one."""
         offset, self._offset = self._offset, None
         try:
             self._offset = self._read_newest() if offset is None else self._follow(offset)
         except LogError as exc:
             self._metrics.count("store_errors", label=exc.code.label)
-            gevent.sleep(AGAIN_S)
+            gevent.sleep(RETRY_DELAY_S)
 
     def _read_newest(self) -> int:
         newest = self._store.newest(self._source.topic)
-        # Before the configuration: a process that has one may begin to place runs.
-        listed = filter(None, map(self._source.evacuated_domain, newest.values))
-        self.evacuations.apply_snapshot(listed, newest.end)
+        # Evacuations first: a process that has a configuration may start to place runs.
+        evacuated = filter(None, map(self._source.evacuated_domain, newest.values))
+        self.evacuations.apply_snapshot(evacuated, newest.end)
         if self._source.key in newest.values:
             self.apply_if_newer(newest.values[self._source.key], "store")
         return newest.end
 
     def _follow(self, offset: int) -> int:
-        changes = self._store.changes(self._source.topic, offset, WATCH_S)
+        changes = self._store.changes(self._source.topic, offset, LONG_POLL_S)
         evacuations = [
             (domain, bool(value))
             for key, value in changes.values
--- a/src/gentianmux/leased/connectors.py
+++ b/src/gentianmux/leased/connectors.py
@@ -1,4 +1,4 @@
-"""Opens and closes the connections that entries and agents should have."""
+"""Opens and closes the connections between entries and agents."""
 
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
@@ -7,45 +7,44 @@
 from .directory import Announcement, Directory
 from .links import Links
 from .model import instance_of
-from .rendezvous import ENTRIES_PER_AGENT, is_preferred, wanted
+from .rendezvous import ENTRIES_PER_AGENT, entries_to_connect, is_preferred
 
 if TYPE_CHECKING:
     from .agent import Agent
 
-SETTLE_S = 0.25
-"""Seconds between an agent's looks at its connections, and at the store while it has none: a read
-takes some 20 ms."""
+RECONCILE_INTERVAL_S = 0.25
+"""Time between checks of an agent's connections, and first delay between reads of the store."""
 
-SLOWEST_READ_S = 8.0
-"""Seconds between an agent's reads of the store while it has fewer entries than it may."""
+MAX_READ_INTERVAL_S = 8.0
+"""Longest time between an agent's reads of the store while it has too few connections."""
 
-PATIENCE_S = 0.5
-"""Seconds that an entry gives agents to connect by themselves."""
+DIAL_DELAY_S = 0.5
+"""Time that an entry gives an agent to connect first."""
 
 
-class EntryNeighbours:
-    """An agent's connections to entries.
+class EntryConnector:
+    """Keeps an agent connected to its preferred entries.
 
-    Entries follow the announcements, connect to agents that prefer them, and hand the
-    configuration on; so an agent reads the store only while it has too few, and the store has no
-    waiting reads of 11,000 agents.
+    Entries follow the announcements, connect to the agents that prefer them and pass on the
+    configuration. An agent therefore reads the store only while it has too few connections, so
+    that the store does not hold a long poll for every agent.
 
     Parameters
     ----------
     me : str
         Name of the agent's instance.
     links : Links
-        Its connections.
+        Connections of the agent.
     agent : Agent
-        Is told which entries may give it new work.
+        Stops offering resources to the entries that are no longer preferred.
     directory : Directory
-        Says which entries there are.
+        Source of the announcements.
     clock : Clock
-        Time.
+        Source of monotonic time.
 
     Examples
     --------
-    ``neighbours.learn(directory.read())`` and then ``neighbours.step()`` every ``SETTLE_S``.
+    ``connector.update(directory.read())``, then ``connector.step()`` every ``RECONCILE_INTERVAL_S``.
     """
 
     def __init__(
@@ -56,56 +55,65 @@
         self._agent = agent
         self._directory = directory
         self._clock = clock
-        self._known: dict[str, str] = {}
-        self._read_at = clock.now()
-        self._wait_s = SETTLE_S
+        self._addresses: dict[str, str] = {}
+        self._last_read_at = clock.now()
+        self._read_interval_s = RECONCILE_INTERVAL_S
 
     def step(self) -> None:
-        """Settle the connections, and read who is there while they are too few."""
-        self.settle()
+        """Reconcile the connections, and read the announcements while there are too few."""
+        self.reconcile()
         connected = len(self._links.processes())
         if not connected:
-            self._wait_s = SETTLE_S
-        if connected >= ENTRIES_PER_AGENT or self._clock.now() - self._read_at < self._wait_s:
+            self._read_interval_s = RECONCILE_INTERVAL_S
+        if (
+            connected >= ENTRIES_PER_AGENT
+            or self._clock.now() - self._last_read_at < self._read_interval_s
+        ):
             return
-        self.learn(self._directory.read() or ())
-        self._read_at = self._clock.now()
-        self._wait_s = min(SLOWEST_READ_S, self._wait_s * 2)
+        self.update(self._directory.read() or ())
+        self._last_read_at = self._clock.now()
+        self._read_interval_s = min(MAX_READ_INTERVAL_S, self._read_interval_s * 2)
 
-    def learn(self, found: Iterable[Announcement]) -> None:
-        """Take in announcements; those of other roles are passed over."""
-        for each in found:
+    def update(self, announcements: Iterable[Announcement]) -> None:
+        """Add or update entries from announcements; those of agents are ignored."""
+        for each in announcements:
             if each.role != "entry":
                 continue
-            if self._known.get(each.name, each.address) != each.address:
-                self._links.undial(self._known[each.name])
-            self._known[each.name] = each.address
-        self.settle()
-
-    def settle(self) -> None:
-        """Dial the entries that are wanted; let go of those that are not once they run nothing."""
-        connected = self._links.peers()
-        self._known.update(connected)
-        names = wanted(self._me, self._known, connected)
-        for name, address in self._known.items():
+            if self._addresses.get(each.name, each.address) != each.address:
+                self._links.stop_dialing(self._addresses[each.name])
+            self._addresses[each.name] = each.address
+        self.reconcile()
+
+    def reconcile(self) -> None:
+        """Dial the preferred entries, and disconnect from others once they have no runs here."""
+        connected = self._links.peer_addresses()
+        self._addresses.update(connected)
+        names = entries_to_connect(self._me, self._addresses, connected)
+        for name, address in self._addresses.items():
             if name in names:
                 self._links.dial(address)
             else:
-                self._links.undial(address)
+                self._links.stop_dialing(address)
         surplus = {p for p in self._links.processes() if instance_of(p) not in names}
         for process in self._agent.stop_offering(surplus):
-            self._links.drop(process, "other entries are preferred")
+            self._links.disconnect(process, "other entries are preferred")
 
 
-class AgentNeighbours:
-    """An entry's connections to the agents that prefer it.
+class AgentConnector:
+    """Keeps an entry connected to the agents that prefer it.
 
     Parameters
     ----------
     me : str
         Name of the entry's instance.
     links : Links
-        Its connections.
+        Connections of the entry.
+
+    Examples
+    --------
+    >>> connector = AgentConnector("e1", links)
+    >>> connector.update(Announcement("w1", "agent", "10.0.0.1:7720"))
+    True
     """
 
     def __init__(self, me: str, links: Links) -> None:
@@ -114,21 +122,21 @@
         self._entries = {me}
         self._agents: dict[str, str] = {}
 
-    def learn(self, found: Announcement) -> bool:
-        """Take in an announcement; whether it is of an agent that prefers this entry."""
+    def update(self, found: Announcement) -> bool:
+        """Add or update an instance; whether it is an agent that prefers this entry."""
         if found.role == "agent":
             self._agents[found.name] = found.address
-            return self._settle(found.name)
+            return self._reconcile(found.name)
         if found.name not in self._entries:
             self._entries.add(found.name)
             for name in self._agents:
-                self._settle(name)
+                self._reconcile(name)
         return False
 
-    def _settle(self, agent: str) -> bool:
+    def _reconcile(self, agent: str) -> bool:
         preferred = is_preferred(agent, self._entries, self._me)
         if preferred:
-            self._links.dial(self._agents[agent], PATIENCE_S)
+            self._links.dial(self._agents[agent], DIAL_DELAY_S)
         else:
-            self._links.undial(self._agents[agent])
+            self._links.stop_dialing(self._agents[agent])
         return preferred
--- a/src/gentianmux/leased/directory.py
+++ b/src/gentianmux/leased/directory.py
@@ -1,4 +1,4 @@
-"""How entries and agents find each other: announcements in the store, and seeds."""
+"""Service discovery: announcements of entries and agents in the store."""
 
 import json
 from collections.abc import Callable, Iterable, Iterator
@@ -21,19 +21,31 @@
     get_str_list,
     read_object,
 )
-from .config_feed import AGAIN_S, WATCH_S
+from .config_feed import LONG_POLL_S, RETRY_DELAY_S
 from .model import EndpointReport
 from .resources import Resources
 
 TOPIC = "gentianmux-members"
-"""Topic of the announcements, one key an instance."""
+"""Topic of the announcements, with one key for each instance."""
 
 ROLES = ("entry", "agent")
-"""Roles that an announcement may name."""
+"""Valid roles of an announcement."""
 
 
 class Announcement(NamedTuple):
-    """Where an instance listens, and for an agent the endpoint that it has seen last."""
+    """Address of an instance and, for an agent, the last report of its endpoint.
+
+    Attributes
+    ----------
+    name : str
+        Name of the instance.
+    role : str
+        One of ``ROLES``.
+    address : str
+        ``ip:port`` where the instance accepts connections of peers.
+    report : EndpointReport, optional
+        Last report of an agent's endpoint.
+    """
 
     name: str
     role: str
@@ -41,7 +53,7 @@
     report: EndpointReport | None = None
 
     def encode(self) -> bytes:
-        """The form in which it lies in the store."""
+        """Encode the value of the record in the store."""
         content: dict[str, Any] = {"role": self.role, "address": self.address}
         if self.report is not None:
             content["report"] = self.report._asdict()
@@ -49,12 +61,12 @@
 
 
 def decode_announcement(name: str, value: bytes) -> Announcement | None:
-    """Read an announcement; None, with a log line, when it cannot be read."""
+    """Decode an announcement; None, after logging a warning, when it is invalid."""
     try:
         content = read_object(value)
         role, address = get_str(content, "role"), get_str(content, "address")
         if role not in ROLES:
-            raise ValueError(f"role {role[:40]!r} is not known")
+            raise ValueError(f"role {role[:40]!r} is unknown")
         _check_address(address)
         has_report = content.get("report") is not None
         report = _decode_report(get_object(content, "report")) if has_report else None
@@ -65,21 +77,21 @@
 
 
 def _check_address(address: str) -> None:
-    """Raise ``ValueError`` unless an address is an IP number and a port."""
+    """Raise ``ValueError`` unless an address consists of an IPv4 address and a port."""
     ip, _, port = address.partition(":")
     try:
         inet_pton(AF_INET, ip)
     except OSError as exc:
-        raise ValueError(f"{address[:60]!r} has no IP number") from exc
+        raise ValueError(f"{address[:60]!r} has no IPv4 address") from exc
     if not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ValueError(f"{address[:60]!r} has no port")
+        raise ValueError(f"{address[:60]!r} has no valid port")
 
 
 def _decode_report(report: dict[str, Any]) -> EndpointReport:
-    room = report.get("capacity")
-    if not isinstance(room, list) or len(room) != len(Resources._fields):
-        raise ValueError("capacity is no list of amounts")
-    amounts = dict(zip(Resources._fields, room, strict=True))
+    values = report.get("capacity")
+    if not isinstance(values, list) or len(values) != len(Resources._fields):
+        raise ValueError("capacity is not a list of amounts")
+    amounts = dict(zip(Resources._fields, values, strict=True))
     return EndpointReport(
         endpoint=get_str(report, "endpoint"),
         address=get_str(report, "address"),
@@ -95,7 +107,7 @@
 
 
 class Directory:
-    """Announces this instance, and reads or follows the announcements of all.
+    """Announces this instance, and reads or follows the announcements of all instances.
 
     Parameters
     ----------
@@ -104,6 +116,11 @@
     metrics : Metrics
         Counters.
 
+    Attributes
+    ----------
+    on_found : callable
+        Called by ``follow`` with each announcement.
+
     Examples
     --------
     ``directory.announce(Announcement("w1", "agent", "10.0.0.1:7720"))`` writes in the background.
@@ -113,36 +130,36 @@
         self.on_found: Callable[[Announcement], None] = lambda found: None
         self._store = store
         self._metrics = metrics
-        self._wanted: Announcement | None = None
+        self._pending: Announcement | None = None
         self._written: Announcement | None = None
         self._writing = False
         self._offset: int | None = None
 
-    def announce(self, mine: Announcement) -> None:
-        """Write an announcement, again until the store has confirmed it."""
-        self._wanted = mine
+    def announce(self, announcement: Announcement) -> None:
+        """Write an announcement in the background, retrying until the store confirms it."""
+        self._pending = announcement
         if not self._writing:
             self._writing = True
             gevent.spawn(self._write)
 
     def _write(self) -> None:
         try:
-            while self._wanted is not None and self._wanted != self._written:
-                self._write_once(self._wanted)
+            while self._pending is not None and self._pending != self._written:
+                self._write_once(self._pending)
         finally:
             self._writing = False
 
-    def _write_once(self, wanted: Announcement) -> None:
+    def _write_once(self, announcement: Announcement) -> None:
         try:
-            self._store.put(TOPIC, wanted.name, wanted.encode())
-            self._written = wanted
-            logger.bind(address=wanted.address).info("announced")
+            self._store.put(TOPIC, announcement.name, announcement.encode())
+            self._written = announcement
+            logger.bind(address=announcement.address).info("announcement written")
         except LogError as exc:
             self._metrics.count("store_errors", label=exc.code.label)
-            gevent.sleep(AGAIN_S)
+            gevent.sleep(RETRY_DELAY_S)
 
     def read(self) -> list[Announcement] | None:
-        """Read the announcements of all instances once; None when they are not to be had."""
+        """Read the announcements of all instances; None when the store does not answer."""
         try:
             newest = self._store.newest(TOPIC)
         except LogError as exc:
@@ -151,22 +168,22 @@
         return list(_decode_all(newest.values.items()))
 
     def follow(self) -> None:
-        """Hand on every announcement, for as long as the process lives."""
+        """Pass every announcement to ``on_found`` until the process ends."""
         run_periodically(0.0, self.follow_once)
 
     def follow_once(self) -> None:
-        """Hand on what has come since the last call, waiting for it."""
+        """Pass on the announcements since the last call, waiting up to ``LONG_POLL_S`` for one."""
         offset, self._offset = self._offset, None
         try:
             if offset is None:
                 newest = self._store.newest(TOPIC)
                 offset, found = newest.end, list(newest.values.items())
             else:
-                changes = self._store.changes(TOPIC, offset, WATCH_S)
+                changes = self._store.changes(TOPIC, offset, LONG_POLL_S)
                 offset, found = changes.end, changes.values
         except LogError as exc:
             self._metrics.count("store_errors", label=exc.code.label)
-            gevent.sleep(AGAIN_S)
+            gevent.sleep(RETRY_DELAY_S)
             return
         self._offset = offset
         for each in _decode_all(found):
@@ -175,6 +192,6 @@
 
 def _decode_all(found: Iterable[tuple[str, bytes]]) -> Iterator[Announcement]:
     for name, value in found:
-        known = decode_announcement(name, value) if value else None
-        if known is not None:
-            yield known
+        announcement = decode_announcement(name, value) if value else None
+        if announcement is not None:
+            yield announcement
--- a/src/gentianmux/leased/evacuation_broadcast.py
+++ b/src/gentianmux/leased/evacuation_broadcast.py
@@ -1,4 +1,4 @@
-"""Hands evacuations on between entries and agents, so that they reach those without the store."""
+"""Propagates evacuations between entries and agents, for processes that cannot reach the store."""
 
 from collections.abc import Callable
 
@@ -8,23 +8,24 @@
 
 
 class EvacuationBroadcast:
-    """Tells every peer of evacuations when they change, and when its connection opens.
+    """Sends evacuations to every peer when they change, and when its connection opens.
 
-    An account is taken in only when it is newer than the one that is known, so it passes each
-    connection once. The order of frames puts it before any run that its sender assigns.
+    Only newer evacuations are put in force and passed on, so each crosses a connection once.
+    Frames are ordered, so a peer receives them before any run that the same sender assigns later.
 
     Parameters
     ----------
     feed : EvacuationFeed
-        The account of this process.
+        Evacuations known to this process.
     links : Links
         Connections to peers.
     on_change : callable
-        What the process does when other failure domains are evacuated than before.
+        Called with evacuations that change the failure domains.
 
     Examples
     --------
-    ``sharing.send_to("e1.5")`` when a connection opens, ``sharing.take(msg, "e1.5")`` for what comes.
+    ``broadcast.send_to("e1.5")`` when a connection opens, ``broadcast.take(msg, "e1.5")`` for a
+    message from a peer.
     """
 
     def __init__(
@@ -32,24 +33,24 @@
     ) -> None:
         self._feed = feed
         self._links = links
-        self._act = on_change
-        feed.on_change = self._changed
+        self._on_change = on_change
+        feed.on_change = self._broadcast
 
     def send_to(self, process: str) -> None:
-        """Tell a peer what is known, when its connection has opened."""
+        """Send the known evacuations to a peer whose connection has opened."""
         if self._feed.is_known:
-            self._tell(process, self._feed.current)
+            self._send(process, self._feed.current)
 
     def take(self, msg: Evacuated, process: str) -> None:
-        """Take in what a peer knows."""
-        told = Evacuations(msg.position, tuple(msg.failure_domains))
-        self._feed.apply_if_newer(told, f"peer {process}")
+        """Put the evacuations received from a peer in force if they are newer."""
+        received = Evacuations(msg.position, tuple(msg.failure_domains))
+        self._feed.apply_if_newer(received, f"peer {process}")
 
-    def _changed(self, evacuations: Evacuations) -> None:
-        self._act(evacuations)
+    def _broadcast(self, evacuations: Evacuations) -> None:
+        self._on_change(evacuations)
         for process in self._links.processes():
-            self._tell(process, evacuations)
+            self._send(process, evacuations)
 
-    def _tell(self, process: str, evacuations: Evacuations) -> None:
+    def _send(self, process: str, evacuations: Evacuations) -> None:
         msg = Evacuated(evacuations.position, list(evacuations.failure_domains))
         self._links.send(process, msg)
--- a/src/gentianmux/leased/evacuations.py
+++ b/src/gentianmux/leased/evacuations.py
@@ -1,4 +1,4 @@
-"""Failure domains that operators evacuate: their endpoints are sent nothing new for a while."""
+"""Evacuated failure domains, whose endpoints receive no new runs."""
 
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
@@ -7,31 +7,31 @@
 
 from ..metrics import Metrics
 
-NOT_READ = -1
-"""Position of a process that has not heard of evacuations yet."""
+UNKNOWN_POSITION = -1
+"""Position of a process that has not received any evacuations yet."""
 
 
 class Evacuations(NamedTuple):
-    """The evacuated failure domains as of a position of the operators' topic.
+    """The evacuated failure domains as of one position of the operators' topic.
 
     Attributes
     ----------
     position : int
-        Offset up to which the topic was read; of two accounts the one with the higher is newer,
-        whoever read it.
-    failure_domains : tuple get_or_add str
-        In the order of their names.
+        Offset up to which the topic was read. A higher position is newer, whichever process
+        read it.
+    failure_domains : tuple of str
+        Names of the evacuated failure domains, sorted.
     """
 
-    position: int = NOT_READ
+    position: int = UNKNOWN_POSITION
     failure_domains: tuple[str, ...] = ()
 
 
 class EvacuationFeed:
-    """Keeps the newest account of evacuations that this process has seen.
+    """Holds the newest evacuations seen by this process.
 
-    An evacuation lasts until its record is deleted. Positions rise, so an account that was
-    overtaken on its way, or comes from a peer that the store turns away, never brings one back.
+    An evacuation lasts until its record is deleted. Positions only rise, so outdated evacuations,
+    delayed on their way or sent by a peer without access to the store, are ignored.
 
     Parameters
     ----------
@@ -41,9 +41,9 @@
     Attributes
     ----------
     current : Evacuations
-        The newest account.
+        The newest evacuations.
     on_change : callable
-        Takes an account that names other failure domains than the one before, and the first one.
+        Called with the first evacuations, and with those that change the failure domains.
 
     Examples
     --------
@@ -58,42 +58,42 @@
         self.current = Evacuations()
         self.on_change: Callable[[Evacuations], None] = lambda evacuations: None
         self._metrics = metrics
-        self._listed: set[str] = set()
+        self._stored: set[str] = set()
 
     @property
     def is_known(self) -> bool:
-        """Whether anything has been heard of evacuations, be it that there are none."""
-        return self.current.position != NOT_READ
+        """Whether any evacuations were received, even if no failure domain is evacuated."""
+        return self.current.position != UNKNOWN_POSITION
 
     def covers(self, failure_domain: str) -> bool:
-        """Whether a failure domain is evacuated at present."""
+        """Whether a failure domain is evacuated."""
         return failure_domain in self.current.failure_domains
 
     def apply_snapshot(self, failure_domains: Iterable[str], position: int) -> None:
-        """Take in every evacuation that the store lists at a position."""
-        self._listed = set(failure_domains)
-        self._take_listed(position)
+        """Replace the evacuations read from the store by those that it lists at a position."""
+        self._stored = set(failure_domains)
+        self._apply_stored(position)
 
     def apply_changes(self, changes: Iterable[tuple[str, bool]], position: int) -> None:
-        """Take in the changes up to a position: failure domains, and whether each is evacuated."""
+        """Apply changes up to a position: failure domains, and whether each is evacuated."""
         for failure_domain, evacuated in changes:
             if evacuated:
-                self._listed.add(failure_domain)
+                self._stored.add(failure_domain)
             else:
-                self._listed.discard(failure_domain)
-        self._take_listed(position)
+                self._stored.discard(failure_domain)
+        self._apply_stored(position)
 
-    def _take_listed(self, position: int) -> None:
-        self.apply_if_newer(Evacuations(position, tuple(sorted(self._listed))), "store")
+    def _apply_stored(self, position: int) -> None:
+        self.apply_if_newer(Evacuations(position, tuple(sorted(self._stored))), "store")
 
     def apply_if_newer(self, evacuations: Evacuations, origin: str) -> None:
-        """Take in an account from a peer or the store, if it is newer."""
+        """Put evacuations from a peer or the store in force if they are newer."""
         before = self.current
         if evacuations.position <= before.position:
             return
         self.current = evacuations
-        known = before.position != NOT_READ
-        if known and evacuations.failure_domains == before.failure_domains:
+        was_known = before.position != UNKNOWN_POSITION
+        if was_known and evacuations.failure_domains == before.failure_domains:
             return
         logger.bind(
             failure_domains=list(evacuations.failure_domains),
--- a/src/gentianmux/leased/links.py
+++ b/src/gentianmux/leased/links.py
@@ -1,4 +1,4 @@
-"""Connections between entries and agents: one to each peer, opened again when it breaks."""
+"""Connections between entries and agents: one for each peer, reopened when it breaks."""
 
 from collections.abc import Callable, Iterator
 from typing import Any
@@ -20,50 +20,59 @@
 from .model import instance_of
 from .settings import LeasedSettings
 
-CONNECT_S = 0.5
-"""Seconds to connect; a round trip is a few ms, a lost opening packet is sent again after 1 s."""
+CONNECT_TIMEOUT_S = 0.5
+"""Shorter than the kernel's first SYN retransmission, which follows after 1 s."""
 
-HELLO_S = 1.0
-"""Seconds for a peer to say who it is, as long as a slowed process may need."""
+HELLO_TIMEOUT_S = 1.0
+"""Time allowed for both sides to exchange their hello messages."""
 
-UNACKED_MS = 2000
-"""Milliseconds of data without an acknowledgement before a connection is given up."""
+TCP_USER_TIMEOUT_MS = 2000
+"""Time that sent data may stay unacknowledged before the kernel closes a connection."""
 
-REDIAL_S = 0.1
-"""Seconds between tries at first, so that a restarted peer is found within about 0.1 s."""
+MIN_REDIAL_DELAY_S = 0.1
+"""First delay between connection attempts; short, so that a restarted peer is found quickly."""
 
-SLOWEST_REDIAL_S = 1.0
-"""Seconds between tries at an address that has not answered for long."""
+MAX_REDIAL_DELAY_S = 1.0
+"""Longest delay between attempts at an address that does not answer."""
 
 IDLE_TIMEOUT_S = 1.0
-"""Seconds without a frame, ten reports or echoes, after which a connection is given up."""
+"""Time without a frame after which a connection is closed: several report periods."""
 
 RECONNECT_AFTER_S = 0.2
-"""Seconds without any frame, two echoes, after which a connection may be silent for good."""
+"""Time without a frame after which a connection may be replaced: at least two echo periods."""
 
 RECONNECT_INTERVAL_S = 0.3
-"""Seconds between tries to replace a connection on which nothing gets through."""
+"""Minimum time between two attempts to replace the same connection."""
 
 
 class Links:
-    """Sends messages to processes by name, and hands on what they send.
+    """Sends messages to processes by name and delivers the messages that they send.
 
     Parameters
     ----------
     cfg : LeasedSettings
-        Where to listen, and the key of the frames.
+        Address to listen at, and the key that authenticates frames.
     me : Hello
-        How this process introduces itself.
+        Introduction that this process sends on every new connection.
     metrics : Metrics
-        Counts frames and bytes.
+        Counters of frames and bytes.
     clock : Clock
-        Time.
+        Source of monotonic time.
     listeners : Listeners, optional
-        Addresses that are open already.
+        Sockets that are already listening.
 
-    Notes
-    -----
-    ``on_open``, ``on_close`` and ``on_message`` are set by the controller; they must not block.
+    Attributes
+    ----------
+    on_open : callable
+        Called with the peer's hello when a connection opens; must not block.
+    on_close : callable
+        Called with the peer's process name when its connection closes; must not block.
+    on_message : callable
+        Called with a message and the process that sent it; must not block.
+
+    Examples
+    --------
+    ``links.start()``, then ``links.dial("10.0.0.1:7720")`` and ``links.send("e1.5", msg)``.
     """
 
     def __init__(
@@ -82,14 +91,14 @@
         self._clock = clock
         self._key = cfg.peer_key.encode()
         self._open: dict[str, Conn] = {}
-        self._heard: dict[str, float] = {}
-        self._dialing: dict[str, gevent.Greenlet] = {}
-        self._renewed: dict[str, float] = {}
+        self._last_frame_at: dict[str, float] = {}
+        self._dialers: dict[str, gevent.Greenlet] = {}
+        self._reconnected_at: dict[str, float] = {}
         listener = (listeners or Listeners()).take(cfg.peer_address)
         self._server = StreamServer(listener, self._serve)
 
     def start(self) -> None:
-        """Begin to listen; raises ``OSError`` when the address is taken."""
+        """Start to listen; raises ``OSError`` when the address is in use."""
         self._server.start()
 
     def stop(self) -> None:
@@ -99,88 +108,88 @@
             conn.close()
 
     def processes(self) -> list[str]:
-        """Processes with an open connection."""
+        """Names of the processes with an open connection, sorted."""
         return sorted(self._open)
 
-    def dial(self, address: str, patience_s: float = 0.0) -> None:
-        """Keep a connection to an address until ``undial``.
+    def dial(self, address: str, delay_s: float = 0.0) -> None:
+        """Keep a connection to an address open until ``stop_dialing`` is called.
 
         Parameters
         ----------
         address : str
             ``ip:port``.
-        patience_s : float
-            How long to wait for the peer to connect by itself.
+        delay_s : float
+            Time in seconds that the peer is given to connect first.
         """
-        if address not in self._dialing and address != self._me.address:
-            self._dialing[address] = gevent.spawn(self._keep_dialed, address, patience_s)
+        if address not in self._dialers and address != self._me.address:
+            self._dialers[address] = gevent.spawn(self._keep_dialed, address, delay_s)
 
-    def undial(self, address: str) -> None:
-        """Open no more connections to an address; one that is open stays."""
-        dialing = self._dialing.pop(address, None)
-        if dialing is not None:
-            dialing.kill(block=False)
+    def stop_dialing(self, address: str) -> None:
+        """Stop reconnecting to an address; an open connection stays open."""
+        dialer = self._dialers.pop(address, None)
+        if dialer is not None:
+            dialer.kill(block=False)
 
-    def peers(self) -> dict[str, str]:
-        """Address of each instance with an open connection."""
+    def peer_addresses(self) -> dict[str, str]:
+        """Addresses of the instances with an open connection, by instance name."""
         return {instance_of(process): conn.address for process, conn in self._open.items()}
 
-    def drop(self, process: str, reason: str) -> None:
-        """Close a connection that is no longer needed."""
+    def disconnect(self, process: str, reason: str) -> None:
+        """Close the connection to a process, if there is one, and log the reason."""
         conn = self._open.get(process)
         if conn is not None:
             conn.close()
             self._lose(conn, reason)
 
-    def _keep_dialed(self, address: str, patience_s: float) -> None:
-        wait_s = REDIAL_S
-        gevent.sleep(patience_s)
+    def _keep_dialed(self, address: str, delay_s: float) -> None:
+        retry_s = MIN_REDIAL_DELAY_S
+        gevent.sleep(delay_s)
         while True:
             if any(conn.address == address for conn in self._open.values()):
-                wait_s = REDIAL_S
-                gevent.sleep(REDIAL_S)
+                retry_s = MIN_REDIAL_DELAY_S
+                gevent.sleep(MIN_REDIAL_DELAY_S)
                 continue
             self._run_dialed(address)
-            gevent.sleep(wait_s)
-            wait_s = min(SLOWEST_REDIAL_S, wait_s * 1.5)
+            gevent.sleep(retry_s)
+            retry_s = min(MAX_REDIAL_DELAY_S, retry_s * 1.5)
 
     def reconnect(self, process: str) -> None:
-        """Open another connection beside one on which nothing gets through, to replace it.
+        """Open a second connection that replaces one on which no frames arrive.
 
-        A connection may go silent for good while new ones work. Only one side may do this: two
-        that cross would each replace the other's.
+        A TCP connection may stall permanently while new ones work. Only one side may call this:
+        two replacements that cross would close each other.
         """
         conn = self._open.get(process)
         now = self._clock.now()
         if (
             conn is None
-            or now - self._renewed.get(process, -RECONNECT_INTERVAL_S) < RECONNECT_INTERVAL_S
+            or now - self._reconnected_at.get(process, -RECONNECT_INTERVAL_S) < RECONNECT_INTERVAL_S
         ):
             return
-        if now - self._heard[process] < RECONNECT_AFTER_S:
-            # It is slow, not silent; more connections would make a full link slower still.
+        if now - self._last_frame_at[process] < RECONNECT_AFTER_S:
+            # The connection is slow, not stalled; another one would add load to a full link.
             return
-        self._renewed[process] = now
+        self._reconnected_at[process] = now
         self._metrics.count("links_renewed")
         gevent.spawn(self._run_dialed, conn.address)
 
     def _run_dialed(self, address: str) -> None:
         ip, _, port = address.partition(":")
         try:
-            sock = gsocket.create_connection((ip, int(port)), timeout=CONNECT_S)
+            sock = gsocket.create_connection((ip, int(port)), timeout=CONNECT_TIMEOUT_S)
         except OSError as exc:
             self._metrics.count("link_dials_failed", label=type(exc).__name__)
             return
-        self._greet_and_run(sock, dialed=True)
+        self._handshake_and_run(sock, dialed=True)
 
     def _serve(self, sock: Any, _address: object) -> None:
-        self._greet_and_run(sock, dialed=False)
+        self._handshake_and_run(sock, dialed=False)
 
-    def _greet_and_run(self, sock: Any, dialed: bool) -> None:
-        set_socket_options(sock, UNACKED_MS)
+    def _handshake_and_run(self, sock: Any, dialed: bool) -> None:
+        set_socket_options(sock, TCP_USER_TIMEOUT_MS)
         frames = split_frames(iter_received(sock), self._key)
         try:
-            with gevent.Timeout(HELLO_S):
+            with gevent.Timeout(HELLO_TIMEOUT_S):
                 sock.sendall(pack_frame(encode(self._me), self._key))
                 hello = _expect_hello(frames)
         except (gevent.Timeout, OSError, FrameError) as exc:
@@ -188,7 +197,7 @@
             sock.close()
             return
         if hello.role == self._me.role:
-            # A seed of the same role: there is nothing to say.
+            # Seeds may name processes of the same role; those exchange no messages.
             self._metrics.count("links_refused", label="same_role")
             sock.close()
             return
@@ -202,15 +211,15 @@
 
     def _register(self, hello: Hello, conn: Conn) -> None:
         for process, old in list(self._open.items()):
-            same_node = instance_of(process) == instance_of(hello.process)
-            if same_node or old.address == hello.address:
-                # The newer connection, or the newer life, replaces the older one.
+            same_instance = instance_of(process) == instance_of(hello.process)
+            if same_instance or old.address == hello.address:
+                # A newer connection or incarnation replaces the older one.
                 del self._open[process]
                 old.close()
                 if process != hello.process:
                     self.on_close(process)
         self._open[hello.process] = conn
-        self._heard[hello.process] = self._clock.now()
+        self._last_frame_at[hello.process] = self._clock.now()
         conn.open()
         logger.bind(peer=hello.process, role=hello.role).info("peer connected")
         self.on_open(hello)
@@ -222,7 +231,7 @@
             for body in frames:
                 if conn.closed:
                     break
-                self._heard[conn.process] = self._clock.now()
+                self._last_frame_at[conn.process] = self._clock.now()
                 self.on_message(decode(body), conn.process)
         except FrameError as exc:
             reason = str(exc)
@@ -230,7 +239,7 @@
         except OSError as exc:
             reason = type(exc).__name__
         except Exception as exc:
-            # The connection is opened anew; its loop must not end without a word.
+            # The dialer reconnects; the cause must be logged before this loop ends.
             reason = f"a message could not be handled: {type(exc).__name__}"
             logger.bind(peer=conn.process, code=int(ResultCode.INTERNAL)).exception(
                 "a message could not be handled"
@@ -243,19 +252,19 @@
     def _lose(self, conn: Conn, reason: str) -> None:
         if self._open.get(conn.process) is conn:
             del self._open[conn.process]
-            self._renewed.pop(conn.process, None)
+            self._reconnected_at.pop(conn.process, None)
             logger.bind(peer=conn.process, reason=reason).warning("peer lost")
             self.on_close(conn.process)
 
     def close_idle(self) -> None:
-        """Close connections on which nothing has come for long; they are opened anew."""
+        """Close connections without a frame for ``IDLE_TIMEOUT_S``; dialers open them again."""
         now = self._clock.now()
         for process in list(self._open):
-            if now - self._heard[process] > IDLE_TIMEOUT_S:
-                self.drop(process, f"silent for {now - self._heard[process]:.1f} s")
+            if now - self._last_frame_at[process] > IDLE_TIMEOUT_S:
+                self.disconnect(process, f"silent for {now - self._last_frame_at[process]:.1f} s")
 
     def send(self, process: str, msg: Message) -> bool:
-        """Queue a message; false when it certainly does not leave."""
+        """Queue a message; false when it is certain not to be sent."""
         conn = self._open.get(process)
         if conn is None:
             return False
@@ -268,8 +277,10 @@
 def _expect_hello(frames: Iterator[bytes]) -> Hello:
     body = next(frames, None)
     if body is None:
-        raise FrameError(ResultCode.BAD_FRAME, "closed before hello")
+        raise FrameError(ResultCode.BAD_FRAME, "connection closed before hello")
     msg = decode(body)
     if not isinstance(msg, Hello) or msg.version != PROTOCOL_VERSION:
-        raise FrameError(ResultCode.BAD_VERSION, "no hello of this protocol version")
+        raise FrameError(
+            ResultCode.BAD_VERSION, "first frame is not a hello of this protocol version"
+        )
     return msg
--- a/src/gentianmux/leased/model.py
+++ b/src/gentianmux/leased/model.py
@@ -1,4 +1,4 @@
-"""The typed terms of leased jobs, shared by entries and agents."""
+"""Data types of leased jobs and endpoints, shared by entries and agents."""
 
 from enum import Enum, IntEnum
 from typing import NamedTuple, Protocol
@@ -7,29 +7,29 @@
 
 
 def instance_of(process: str) -> str:
-    """Name of the instance whose process this is."""
+    """Name of the instance that a process belongs to; ``w1`` for ``w1.1700000000000``."""
     return process.rpartition(".")[0]
 
 
 class StepSpec(NamedTuple):
-    """Tasks of one kind within a job.
+    """A step of a job: a number of tasks with the same requirements.
 
     Attributes
     ----------
     tasks : int
-        Tasks of the step.
+        Number of tasks.
     need : Resources
-        What each of them takes.
+        Resources that each task needs.
     estimate_ms : int
-        The caller's rough estimate of one task's run time.
-    after : tuple get_or_add int
-        Steps whose tasks must all be done first.
+        The caller's estimate of one task's run time, in milliseconds.
+    after : tuple of int
+        Indexes of the steps that must be completed first.
     requires : str
         Label that the endpoint must have; empty for none.
     prefers : str
-        Label of the rack where the data is; empty for none.
+        Label of the preferred rack, where the data is; empty for none.
     max_per_endpoint : int
-        Most tasks of the step on one endpoint; 0 for no bound.
+        Maximum number of tasks of the step on one endpoint; 0 for no bound.
     """
 
     tasks: int
@@ -42,7 +42,7 @@
 
 
 class JobSpec(NamedTuple):
-    """A job as the caller described it; ``payload`` goes to every task unread."""
+    """A job as submitted by a caller; ``payload`` is passed to every task unchanged."""
 
     job_id: str
     payload: str
@@ -50,26 +50,26 @@
 
 
 class QueueConfig(NamedTuple):
-    """What the configuration says of one queue of jobs.
+    """Configuration of one queue of jobs.
 
     Attributes
     ----------
     name : str
-        Name of the queue, for logs and metrics.
+        Name used in logs and metrics.
     host, prefix : str
-        What the request's host is and its path begins with.
+        Host and path prefix of the requests that belong to the queue.
     service : str
-        Whose endpoints run the tasks.
+        Service whose endpoints run the tasks.
     timeout_ms : int
-        Bound on a request that names no deadline of its own.
+        Time limit of requests without a deadline, in milliseconds.
     target_ms : int
-        Allowance on top of the stretched work, in the queue's latency objective.
+        Fixed part of the latency objective, added to the stretched work, in milliseconds.
     priority : int
-        Jobs of queue 0 go first; work that has begun is not given up for them.
+        Jobs with the lowest number go first; runs in progress are never preempted.
     max_attempts : int
-        Runs of a task that may fail before its job has failed.
+        Number of failed runs of one task after which its job fails.
     stretch : float
-        How many times its work a job may take and still meet the objective.
+        Factor applied to the work of a job in the latency objective.
     """
 
     name: str
@@ -84,7 +84,7 @@
 
 
 class RequestLimits(NamedTuple):
-    """Bounds on callers' requests: bytes, and seconds for a head and for an idle connection."""
+    """Bounds on callers' requests: sizes in bytes, and timeouts of headers and idle connections."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 262144
@@ -93,7 +93,7 @@
 
 
 class JobConfig(NamedTuple):
-    """One version of the configuration; ``raw`` is what peers hand on to each other."""
+    """One version of the configuration; ``raw`` is its encoded form, passed on between peers."""
 
     version: int
     queues: tuple[QueueConfig, ...]
@@ -102,17 +102,17 @@
 
 
 class EndpointReport(NamedTuple):
-    """What an endpoint says of itself in a heartbeat.
+    """State of an endpoint as reported in a heartbeat.
 
     Attributes
     ----------
     drain_remaining_s : float
-        The least time that a draining endpoint still runs tasks, in seconds.
+        Minimum time for which a draining endpoint still runs tasks, in seconds.
     sequence : int
-        Counts the heartbeats of one life from 1.
+        Number of the heartbeat within one incarnation, from 1.
     born : int
-        When this life of the endpoint began, in Unix milliseconds; 0 when it is not told. An
-        endpoint may start again under its id, and what was known of it before then holds no more.
+        Start of this incarnation of the endpoint, in Unix milliseconds; 0 if unknown. An endpoint
+        may restart under the same id, which invalidates all earlier state of it.
     """
 
     endpoint: str
@@ -128,7 +128,7 @@
 
 
 class StartResult(Enum):
-    """What an endpoint said to a start."""
+    """An endpoint's answer to a start command."""
 
     STARTED = "started"
     OLD_RUN = "old_run"
@@ -140,7 +140,7 @@
 
 
 class RunOutcome(IntEnum):
-    """How a run left an agent; the first four prove that it did nothing."""
+    """How a run ended at an agent; the members before ``DONE`` prove that it never ran."""
 
     NO_ROOM = 1
     NOT_STARTED = 2
@@ -159,7 +159,7 @@
 
 
 class ActiveRun(NamedTuple):
-    """A run that an endpoint lists as active, with how much of its work is done."""
+    """A run that an endpoint lists as active, with its progress in percent."""
 
     task: str
     run: int
@@ -167,7 +167,7 @@
 
 
 class EndRecord(NamedTuple):
-    """An end that an endpoint lists until it is acknowledged by ``number``."""
+    """A run that has ended, listed by an endpoint until its ``number`` is acknowledged."""
 
     number: int
     task: str
@@ -176,7 +176,7 @@
 
 
 class HoldReply(NamedTuple):
-    """An endpoint's lists, and when they were asked for on the agent's monotonic clock."""
+    """Runs listed by an endpoint; ``asked_at`` is the agent's monotonic time of the request."""
 
     asked_at: float
     active: tuple[ActiveRun, ...]
@@ -184,16 +184,16 @@
 
 
 class EndpointGone(Exception):
-    """An endpoint with another id answered: whatever the earlier one ran has ended."""
+    """An endpoint with another id answered; all runs of the earlier one have ended."""
 
 
 class EndpointStartedAgain(Exception):
-    """Another life answered under the same id: what the earlier one ran has ended.
+    """Another incarnation with the same id answered; all runs of the earlier one have ended.
 
     Attributes
     ----------
     born : int
-        When the present life began, in Unix milliseconds.
+        Start of the current incarnation, in Unix milliseconds.
     """
 
     def __init__(self, born: int) -> None:
@@ -202,51 +202,51 @@
 
 
 class NoAnswer(Exception):
-    """The endpoint did not answer, or not in a form that can be read."""
+    """No valid response was received; the call may or may not have taken effect."""
 
 
 class EndpointDriver(Protocol):
-    """How an agent talks to the endpoint beside it."""
+    """Client interface of an agent's endpoint."""
 
     def attach(self, report: EndpointReport) -> None:
-        """Turn to the endpoint that a heartbeat came from, and fence off earlier agents."""
+        """Switch to the endpoint that sent a heartbeat, and fence off earlier agents."""
         ...
 
     def is_present(self, report: EndpointReport) -> bool | None:
-        """Whether the life that a heartbeat came from is the one at work; None when unanswered.
+        """Whether the incarnation that sent a heartbeat is the running one; None if unanswered.
 
-        May be asked while the driver is attached to another life, and changes nothing there.
+        May be called while the driver is attached to another incarnation, and does not affect it.
         """
         ...
 
     def start(
         self, task: str, run: int, payload: str, lease_s: float, asked_at: float
     ) -> StartResult:
-        """Start a run under a lease that counts from ``asked_at``, monotonic; never raises.
+        """Start a run under a lease that begins at ``asked_at``, monotonic time; never raises.
 
-        The endpoint refuses a start that reaches it after that lease, so a process that stood
-        still between deciding and sending starts nothing.
+        The endpoint refuses a start that arrives after the lease has expired, so that a process
+        paused between decision and sending cannot start an outdated run.
         """
         ...
 
     def stop(self, task: str, run: int) -> bool:
-        """Stop a run, present or still on its way; whether the endpoint confirmed it."""
+        """Stop a run, even if its start is still in flight; whether the endpoint confirmed it."""
         ...
 
     def hold(self, acknowledged: int, wait_s: float, lease_s: float, timeout_s: float) -> HoldReply:
-        """Renew the lease of all runs (0: only look) and wait for an end.
+        """Renew the lease of all runs (none if ``lease_s`` is 0) and wait for one of them to end.
 
         Raises
         ------
         EndpointGone
             When an endpoint with another id answered.
         EndpointStartedAgain
-            When a later life of the same endpoint answered.
+            When another incarnation of the same endpoint answered.
         NoAnswer
-            When nothing readable came in time.
+            When no valid response arrived in time.
         """
         ...
 
     def lease_end(self) -> float:
-        """When every lease ever asked for has run out, on the agent's monotonic clock."""
+        """Monotonic time at which every lease requested so far has expired."""
         ...
--- a/src/gentianmux/leased/process.py
+++ b/src/gentianmux/leased/process.py
@@ -1,4 +1,4 @@
-"""Puts the controllers of one entry or agent together, runs them, and stops them without loss."""
+"""Assembles, runs and gracefully stops the controllers of one entry or agent."""
 
 from collections.abc import Callable, Iterable
 from random import Random
@@ -25,46 +25,47 @@
 from .settings import LeasedSettings, lease_s
 
 MAX_CONNECTIONS = 3000
-"""Callers' connections at once, below the 4,100 descriptors of the smallest instance."""
+"""Concurrent connections of callers; stays below the file descriptor limit of small instances."""
 
-LINGER_S = 2.5
-"""Seconds for which a stopping entry still takes jobs: a balancer that asks once a second and
-needs two misses sends it new connections for that long."""
+ACCEPT_AFTER_STOP_S = 2.5
+"""Time for which a stopping entry still accepts jobs: a load balancer sends new connections until
+two readiness checks, one second apart, have failed."""
 
-SPARE_S = 0.7
-"""Seconds of the grace period kept for stopping what still runs and saying so."""
+GRACE_MARGIN_S = 0.7
+"""Part of the grace period kept for stopping the remaining runs and reporting their ends."""
 
-LAST_ANSWERS_S = 0.05
-"""Seconds for the last answers to leave before connections close."""
+FLUSH_DELAY_S = 0.05
+"""Time for the last responses to be sent before connections close."""
 
-RELOAD_S = 1.0
-"""Seconds between looks at the settings, which may change without a signal."""
+SETTINGS_POLL_INTERVAL_S = 1.0
+"""Time between checks of the settings file, which may change without a signal."""
 
 App = Callable[..., Iterable[bytes]]
 
-# Each role imports only what it uses: start-up time is recovery time.
+# Each role imports only what it uses: imports dominate the time that a restart takes.
 if TYPE_CHECKING:
     from .agent import Agent
     from .entry import Entry
 
 
 class Process:
-    """What both roles share: settings, metrics, store, configuration and connections.
+    """Components of both roles: settings, metrics, store, configuration and connections.
 
     Parameters
     ----------
     cfg : LeasedSettings
-        The settings.
+        Settings of the process.
     store : KeyedLog
         The platform's store.
     source : ConfigSource
-        Where the configuration lies in it.
+        Location of the configuration in the store.
     listeners : Listeners
-        Addresses that are open already.
+        Sockets that are already listening.
 
     Examples
     --------
-    ``run_entry(process, make_app, stopping)`` returns once ``stopping`` is set and all is answered.
+    ``run_entry(process, make_app, stopping)`` returns after ``stopping`` is set and every accepted
+    job is answered.
     """
 
     def __init__(
@@ -83,21 +84,21 @@
         self._servers: list[HttpServer] = []
 
     def serve(self, address: str, app: App) -> HttpServer:
-        """Serve an application at an address."""
+        """Serve a WSGI application at an address."""
         server = HttpServer(address, app, self.http_cfg, listeners=self._listeners)
         server.start()
         self._servers.append(server)
         return server
 
     def metrics_app(self, environ: dict[str, Any], start_response: Any) -> Iterable[bytes]:
-        """Answer with all metrics as text."""
+        """WSGI application that responds with all metrics as text."""
         body = self.metrics.text()
         headers = [("Content-Type", "text/plain"), ("Content-Length", str(len(body)))]
         start_response("200 OK", headers)
         return [body]
 
     def close(self) -> None:
-        """Close every address and connection."""
+        """Stop all servers and close all connections."""
         for server in self._servers:
             server.stop(timeout=0)
         self.links.stop()
@@ -106,18 +107,18 @@
 def run_agent(
     base: Process, driver: EndpointDriver, make_app: Callable[["Agent"], App], stopping: Event
 ) -> None:
-    """Run an agent until it is told to stop.
+    """Run an agent until ``stopping`` is set, then stop it gracefully.
 
     Parameters
     ----------
     base : Process
-        What both roles share.
+        Components of both roles.
     driver : EndpointDriver
-        How the endpoint is spoken to.
+        Client of the endpoint.
     make_app : callable
-        Makes the application that takes the endpoint's heartbeats.
+        Creates the WSGI application that receives the endpoint's heartbeats.
     stopping : Event
-        Set when the process is to end.
+        Set when the process has to stop.
     """
     from .agent import Agent
 
@@ -136,46 +137,48 @@
     agent.run_loops()
     for seed in cfg.seeds:
         base.links.dial(seed)
-    gevent.spawn(_find_entries, agent, directory, base)
+    gevent.spawn(_connect_entries, agent, directory, base)
     stopping.wait()
-    agent.shut_down(base.clock.now() + cfg.grace_s - SPARE_S)
+    agent.shut_down(base.clock.now() + cfg.grace_s - GRACE_MARGIN_S)
     base.close()
 
 
-def _find_entries(agent: "Agent", directory: Directory, base: Process) -> None:
-    from .connectors import SETTLE_S, EntryNeighbours
+def _connect_entries(agent: "Agent", directory: Directory, base: Process) -> None:
+    from .connectors import RECONCILE_INTERVAL_S, EntryConnector
 
     found = directory.read() or []
     _resume_endpoint(agent, found, base.cfg)
-    neighbours = EntryNeighbours(base.cfg.name, base.links, agent, directory, base.clock)
-    neighbours.learn(found)
-    run_periodically(SETTLE_S, neighbours.step)
+    connector = EntryConnector(base.cfg.name, base.links, agent, directory, base.clock)
+    connector.update(found)
+    run_periodically(RECONCILE_INTERVAL_S, connector.step)
 
 
-def _resume_endpoint(agent: "Agent", known: list[Announcement], cfg: LeasedSettings) -> None:
-    """Take up the endpoint that was announced before a restart, without waiting for a heartbeat."""
+def _resume_endpoint(
+    agent: "Agent", announcements: list[Announcement], cfg: LeasedSettings
+) -> None:
+    """Resume the endpoint announced before a restart, without waiting for a heartbeat."""
     if agent.report is not None:
         return
-    mine = [each.report for each in known if each.name == cfg.name]
-    if mine and mine[0] is not None:
-        agent.on_report(mine[0])
+    own = [each.report for each in announcements if each.name == cfg.name]
+    if own and own[0] is not None:
+        agent.on_report(own[0])
     else:
         agent.on_report_change(None)
 
 
 def run_entry(base: Process, make_app: Callable[["Entry"], Any], stopping: Event) -> None:
-    """Run an entry until it is told to stop.
+    """Run an entry until ``stopping`` is set, then stop it gracefully.
 
     Parameters
     ----------
     base : Process
-        What both roles share.
+        Components of both roles.
     make_app : callable
-        Makes the application for callers, whose ``limit`` takes bounds on their requests.
+        Creates the WSGI application for callers; its ``limit`` sets bounds on their requests.
     stopping : Event
-        Set when the process is to end.
+        Set when the process has to stop.
     """
-    from .connectors import AgentNeighbours
+    from .connectors import AgentConnector
     from .entry import Entry
     from .fleet_view import FleetView
 
@@ -184,20 +187,20 @@
     entry = Entry(view, base.links, base.feed, base.metrics, base.clock, cfg.link_bytes_s)
     directory = Directory(base.store, base.metrics)
 
-    neighbours = AgentNeighbours(cfg.name, base.links)
+    connector = AgentConnector(cfg.name, base.links)
 
-    def take(found: Announcement) -> None:
-        preferred = neighbours.learn(found)
+    def on_announcement(found: Announcement) -> None:
+        preferred = connector.update(found)
         if preferred and found.report is not None:
             report = found.report
             cpu, domain = report.capacity.cpu, report.failure_domain
             view.expect(found.name, report.service, domain, cpu, base.clock.now())
 
-    directory.on_found = take
+    directory.on_found = on_announcement
     base.links.start()
     app = make_app(entry)
     callers = base.serve(cfg.http_address, app)
-    base.serve(cfg.readiness_address, _readiness_of(entry))
+    base.serve(cfg.readiness_address, _readiness_app(entry))
     base.serve(cfg.metrics_address, base.metrics_app)
 
     def limit(limits: Any) -> None:
@@ -211,12 +214,12 @@
         gevent.spawn(loop)
     directory.announce(Announcement(cfg.name, cfg.role, cfg.peer_address))
     stopping.wait()
-    entry.shut_down(LINGER_S, base.clock.now() + cfg.grace_s - SPARE_S)
-    gevent.sleep(LAST_ANSWERS_S)
+    entry.shut_down(ACCEPT_AFTER_STOP_S, base.clock.now() + cfg.grace_s - GRACE_MARGIN_S)
+    gevent.sleep(FLUSH_DELAY_S)
     base.close()
 
 
-def _readiness_of(entry: "Entry") -> App:
+def _readiness_app(entry: "Entry") -> App:
     def app(environ: dict[str, Any], start_response: Any) -> Iterable[bytes]:
         status = "200 OK" if entry.is_ready else "503 Service Unavailable"
         start_response(status, [("Content-Length", "0")])
@@ -231,24 +234,24 @@
     changed_at: Callable[[], float],
     signalled: Event,
 ) -> None:
-    """Read the settings again when told to or when they have changed, for ever.
+    """Reload the settings on a signal or when their file changes, until the process ends.
 
-    New seeds are contacted at once; addresses and bounds are taken up at the next start.
+    Agents connect to new seeds at once; other changes take effect at the next start.
 
     Parameters
     ----------
     base : Process
-        The process that runs under the settings.
+        The process that uses the settings.
     read : callable
-        Reads them; raises ``GentianmuxError`` when they cannot be used.
+        Reads the settings; raises ``GentianmuxError`` when they are invalid.
     changed_at : callable
-        When they were last written.
+        Modification time of the settings.
     signalled : Event
-        Set when somebody says that they have changed.
+        Set by the signal that requests a reload.
     """
     seen = changed_at()
     while True:
-        signalled.wait(RELOAD_S)
+        signalled.wait(SETTINGS_POLL_INTERVAL_S)
         now = changed_at()
         if not signalled.is_set() and now == seen:
             continue
@@ -258,11 +261,11 @@
             fresh = read()
         except GentianmuxError as exc:
             logger.bind(code=int(ResultCode.BAD_SETTING)).error(
-                "settings kept as they are: {}", exc
+                "settings not reloaded, keeping the previous ones: {}", exc
             )
             continue
         old = base.cfg
         differing = [name for name in fresh._fields if getattr(fresh, name) != getattr(old, name)]
-        logger.bind(changed=differing).info("settings read again")
+        logger.bind(changed=differing).info("settings reloaded")
         for seed in fresh.seeds if old.role == "agent" else ():
             base.links.dial(seed)
--- a/src/gentianmux/leased/rendezvous.py
+++ b/src/gentianmux/leased/rendezvous.py
@@ -1,20 +1,19 @@
-"""Which entries an agent works with: a few, dealt evenly, so that its cost does not grow."""
+"""Rendezvous hashing, which assigns each agent a bounded number of entries."""
 
 from collections.abc import Iterable
 from hashlib import blake2b
 
 ENTRIES_PER_AGENT = 5
-"""Entries that share an agent. Reports and echoes for ten entries took 0.063 of a core at each of
-71 agents, and 0.29 at each entry. Five leave an entry half of a pool that ten entries share, and
-an agent in use when four of its entries are lost at once."""
+"""Entries connected to an agent: bounds the cost of reports and echoes, and an agent stays in use
+while one of them is reachable."""
 
 
-def ranked(agent: str, entries: Iterable[str]) -> list[str]:
-    """Entries in the order in which an agent prefers them, the same wherever it is worked out.
+def rank_entries(agent: str, entries: Iterable[str]) -> list[str]:
+    """Entries in the agent's order of preference, the same in every process.
 
     Examples
     --------
-    >>> ranked("w1", ["e1", "e2", "e3"]) == ranked("w1", ["e3", "e2", "e1"])
+    >>> rank_entries("w1", ["e1", "e2", "e3"]) == rank_entries("w1", ["e3", "e2", "e1"])
     True
     """
     return sorted(entries, key=lambda entry: _weight(agent, entry))
@@ -24,43 +23,43 @@
     return blake2b(f"{agent}/{entry}".encode(), digest_size=8).digest()
 
 
-def wanted(agent: str, entries: Iterable[str], connected: Iterable[str]) -> list[str]:
-    """Entries that an agent should be connected to: the first few that can be reached.
+def entries_to_connect(agent: str, entries: Iterable[str], connected: Iterable[str]) -> list[str]:
+    """Entries that an agent should be connected to: the first ones that can be reached.
 
     Parameters
     ----------
     agent : str
         Name of the agent's instance.
-    entries : iterable get_or_add str
-        Names of all entries that it has heard of.
-    connected : iterable get_or_add str
-        Those to which a connection is open.
+    entries : iterable of str
+        Names of all known entries.
+    connected : iterable of str
+        Names of the entries with an open connection.
 
     Returns
     -------
     list of str
-        The preferred entries up to the last that is needed. Entries without a connection stay in
-        the list, as they may come back, and others take their places meanwhile.
+        Preferred entries up to the last one needed for ``ENTRIES_PER_AGENT`` connections. Entries
+        without a connection stay in the list, as they may come back.
 
     Examples
     --------
-    >>> order = ranked("w1", [f"e{number}" for number in range(9)])
-    >>> wanted("w1", order, order) == order[:5]
+    >>> order = rank_entries("w1", [f"e{number}" for number in range(9)])
+    >>> entries_to_connect("w1", order, order) == order[:5]
     True
-    >>> wanted("w1", order, order[1:]) == order[:6]
+    >>> entries_to_connect("w1", order, order[1:]) == order[:6]
     True
     """
-    open_ones = set(connected)
+    connected_set = set(connected)
     found: list[str] = []
     reached = 0
-    for entry in ranked(agent, entries):
+    for entry in rank_entries(agent, entries):
         if reached == ENTRIES_PER_AGENT:
             break
         found.append(entry)
-        reached += entry in open_ones
+        reached += entry in connected_set
     return found
 
 
 def is_preferred(agent: str, entries: Iterable[str], entry: str) -> bool:
-    """Whether an entry is among those that an agent prefers while all can be reached."""
-    return entry in ranked(agent, entries)[:ENTRIES_PER_AGENT]
+    """Whether an entry is among an agent's first choices when all entries can be reached."""
+    return entry in rank_entries(agent, entries)[:ENTRIES_PER_AGENT]
--- a/src/gentianmux/leased/settings.py
+++ b/src/gentianmux/leased/settings.py
@@ -1,10 +1,10 @@
-"""Settings of a process that serves leased jobs, in the product's own terms."""
+"""Settings of a process that serves leased jobs, independent of the platform's file format."""
 
 from typing import NamedTuple
 
 
 class LeasedSettings(NamedTuple):
-    """Everything such a process is told from outside; passed whole.
+    """Settings of one entry or agent.
 
     Attributes
     ----------
@@ -13,37 +13,37 @@
     name : str
         Name of this instance, unique in the deployment.
     failure_domain : str
-        What it fails together with.
+        Failure domain that the instance is in.
     peer_address : str
-        ``ip:port`` where other processes connect.
+        ``ip:port`` where other processes connect to this one.
     http_address : str
         ``ip:port`` for callers (entry) or for the endpoint's heartbeats (agent).
     readiness_address : str
-        ``ip:port`` where an entry is asked whether it is ready; empty for none.
+        ``ip:port`` of an entry's readiness checks; empty for none.
     metrics_address : str
-        ``ip:port`` where metrics are read.
-    seeds : tuple get_or_add str
-        Peer addresses of processes to contact first.
+        ``ip:port`` where metrics are exposed.
+    seeds : tuple of str
+        Peer addresses to connect to at start.
     endpoint_address : str
-        ``ip:port`` of the endpoint beside an agent.
+        ``ip:port`` of an agent's endpoint.
     service : str
         Service of that endpoint.
     store_address : str
         ``ip:port`` of the platform's store.
     store_retention_s : float
-        How long the store keeps records that are not the newest of a key.
+        Time in seconds that the store keeps records that are not the newest of their key.
     longest_lease_s : float
-        Longest lease that an endpoint grants.
+        Longest lease that an endpoint grants, in seconds.
     stop_s : float
-        Longest time that a stop takes at an endpoint.
+        Longest time that an endpoint takes to stop a run, in seconds.
     grace_s : float
-        Time between SIGTERM and SIGKILL.
+        Time between SIGTERM and SIGKILL, in seconds.
     resend_s : float
-        How soon a caller sends a job again whose answer it lost.
+        Time after which a caller resends a job whose answer it lost, in seconds.
     link_bytes_s : float
-        What the link of this instance carries, in bytes a second; 0 where it is not told.
+        Bandwidth of the instance's network link, in bytes per second; 0 if unknown.
     peer_key : str
-        Secret of the deployment for frames between its processes; empty for none.
+        Shared secret that authenticates frames between processes; empty for none.
     """
 
     role: str
@@ -66,12 +66,11 @@
     peer_key: str = ""
 
 
-LEASE_SHARE = 0.55
-"""Part of the longest lease that agents ask for, renewed about every 0.1 s and through 0.25 s of
-lost answers: three renewals may fail before a run is lost, and chain, lease and stop together
-stay within ``resend_s``."""
+LEASE_RATIO = 0.55
+"""Part of the longest lease that agents request. It covers several failed renewals before a run is
+lost, while entry lease, endpoint lease and stop together stay within ``resend_s``."""
 
 
 def lease_s(cfg: LeasedSettings) -> float:
-    """Lease that an agent asks its endpoint for, in seconds."""
-    return cfg.longest_lease_s * LEASE_SHARE
+    """Lease that an agent requests from its endpoint, in seconds."""
+    return cfg.longest_lease_s * LEASE_RATIO
--- a/src/gentianmux/platform/__init__.py
+++ b/src/gentianmux/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Translates between the users' platform and gentianmux; decides nothing."""
+"""Adapter between the users' platform and gentianmux; contains no decision logic."""
--- a/src/gentianmux/platform/boot.py
+++ b/src/gentianmux/platform/boot.py
@@ -1,4 +1,4 @@
-"""Starts a process of a role: settings and addresses first, the rest of the program after."""
+"""Starts an entry or agent: reads its settings and listens before importing the rest."""
 
 import signal
 import sys
@@ -13,8 +13,19 @@
 
 
 def boot(role: str) -> int:
-    """Run a process of a role; return its exit status."""
-    # Until there is a handler the signal would end the process; settings are read just below.
+    """Run an entry or agent until it is stopped.
+
+    Parameters
+    ----------
+    role : str
+        ``entry`` or ``agent``.
+
+    Returns
+    -------
+    int
+        Exit status of the process.
+    """
+    # SIGHUP would end the process until its handler is installed.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         cfg = read_settings_file(role)
@@ -24,7 +35,7 @@
     except (OSError, OverflowError, ValueError) as exc:
         code = ResultCode.BAD_SETTING
         return _refuse(f"{int(code)} {code.label}: cannot listen: {exc}")
-    # Loading the rest takes 0.3 s of processor; connections wait meanwhile.
+    # Imported late: connections already wait in the listen queues during the slow imports.
     from .main import run_role
 
     return run_role(cfg, listeners)
--- a/src/gentianmux/platform/callers.py
+++ b/src/gentianmux/platform/callers.py
@@ -1,4 +1,4 @@
-"""The platform's callers: jobs in and answers out, by HTTP as its page says."""
+"""WSGI application for callers, who submit jobs over the platform's HTTP interface."""
 
 import json
 import re
@@ -21,21 +21,21 @@
 from ..settings import Settings
 
 MAX_PAYLOAD_BYTES = 4000
-"""Bytes of a job's payload, from the platform's page."""
+"""Maximum size of a job's payload in the platform's interface."""
 
 MAX_TASKS = 1000
-"""Tasks of a job; the largest that callers send has 150."""
+"""Maximum number of tasks of a job."""
 
 RETRY_AFTER_S = 1
-"""Seconds after which a process without a configuration may be asked again."""
+"""Retry delay sent to callers by a process that cannot accept jobs yet or any more."""
 
-FIRST_CONFIG_S = 0.5
-"""Seconds that a request waits for the configuration of a process that has just begun, which has
-it 15 ms after it begins to accept while the store answers; refused, the request would be lost."""
+FIRST_CONFIG_TIMEOUT_S = 0.5
+"""Time that a request waits for the first configuration of a process that has just started, instead
+of being refused."""
 
 _JOB_ID = re.compile(r"[0-9a-f]{16}\Z")
-_NOT_SERVED_OF_JOB = ("run_count",)
-_NOT_SERVED_OF_STEP = (
+_UNSUPPORTED_JOB_FIELDS = ("run_count",)
+_UNSUPPORTED_STEP_FIELDS = (
     "gang",
     "same_rack",
     "speculative",
@@ -51,7 +51,7 @@
 
 
 class Response(NamedTuple):
-    """An answer to a caller."""
+    """A response to a caller; ``content`` is its JSON body."""
 
     status: int
     content: dict[str, Any]
@@ -59,16 +59,16 @@
 
 
 class CallerApp:
-    """The WSGI application at an entry's address for callers.
+    """WSGI application that accepts jobs from callers.
 
     Parameters
     ----------
     entry : Entry
-        Takes the jobs.
+        Runs the jobs.
     feed : ConfigFeed
-        Says which queues there are.
+        Holds the configuration, with the queues.
     cfg : Settings
-        Bounds on bodies.
+        Bounds on request bodies.
     metrics : Metrics
         Counters.
     """
@@ -80,14 +80,14 @@
         self._metrics = metrics
 
     def limit(self, limits: RequestLimits) -> None:
-        """Bound bodies by what the configuration says."""
+        """Apply the configuration's bounds on request bodies."""
         self._cfg = self._cfg._replace(
             max_body_kb=max(1, limits.max_body_bytes // 1024),
             body_timeout_ms=int(limits.idle_timeout_s * 1000),
         )
 
     def __call__(self, environ: dict[str, Any], start_response: StartResponse) -> Iterable[bytes]:
-        """Answer one request."""
+        """Handle one request."""
         try:
             response = self._answer(environ)
         except GentianmuxError as exc:
@@ -117,7 +117,7 @@
         return [body]
 
     def _answer(self, environ: dict[str, Any]) -> Response:
-        queue, rest = self._queue_of(environ)
+        queue, rest = self._find_queue(environ)
         method = environ["REQUEST_METHOD"]
         if method == "GET" and not rest:
             return Response(200, {"pending": self._entry.pending(queue.name)})
@@ -128,12 +128,12 @@
         if method == "DELETE":
             return Response(200 if self._entry.cancel(rest) else 410, {"state": "cancelled"})
         if method == "GET":
-            # Jobs answered by their POST are not kept, so none is known here.
+            # The result of a job is sent in the response to its POST and not kept.
             return Response(410, {"error": "no such job is kept"})
         raise GentianmuxError(ResultCode.METHOD_NOT_ALLOWED, method)
 
-    def _queue_of(self, environ: dict[str, Any]) -> tuple[QueueConfig, str]:
-        config = self._feed.first(FIRST_CONFIG_S)
+    def _find_queue(self, environ: dict[str, Any]) -> tuple[QueueConfig, str]:
+        config = self._feed.wait_for_config(FIRST_CONFIG_TIMEOUT_S)
         if config is None:
             raise GentianmuxError(ResultCode.CONFIG_MISSING, retry_after_ms=RETRY_AFTER_S * 1000)
         host = environ.get("HTTP_HOST", "").partition(":")[0].lower()
@@ -146,7 +146,7 @@
 
     def _submit(self, environ: dict[str, Any], queue: QueueConfig, job_id: str) -> Response:
         time_limit_s = _time_limit_s(environ, queue)
-        spec = read_job(job_id, read_body(environ, self._cfg))
+        spec = decode_job(job_id, read_body(environ, self._cfg))
         if not self._entry.takes(spec):
             raise GentianmuxError(ResultCode.DRAINING, retry_after_ms=RETRY_AFTER_S * 1000)
         handle = self._entry.submit(spec, queue, time_limit_s)
@@ -161,11 +161,11 @@
 
 
 def _time_limit_s(environ: dict[str, Any], queue: QueueConfig) -> float:
-    text = environ.get("HTTP_GENTIANMUX_DEADLINE_MS", "")
-    if not text:
+    header = environ.get("HTTP_GENTIANMUX_DEADLINE_MS", "")
+    if not header:
         return max(1, queue.timeout_ms) / 1000
     try:
-        limit_ms = float(text)
+        limit_ms = float(header)
     except ValueError as exc:
         raise GentianmuxError(ResultCode.BAD_HEADER, "the deadline is no number") from exc
     if not 0 < limit_ms < 1e9:
@@ -173,13 +173,13 @@
     return limit_ms / 1000
 
 
-def read_job(job_id: str, body: bytes) -> JobSpec:
+def decode_job(job_id: str, body: bytes) -> JobSpec:
     """Decode a job.
 
     Raises
     ------
     GentianmuxError
-        ``BAD_JSON`` or ``BAD_FIELD`` for what is no job, ``NOT_SERVED`` for what is not served.
+        ``BAD_JSON`` or ``BAD_FIELD`` for a malformed job, ``NOT_SERVED`` for unsupported features.
     """
     try:
         content = json.loads(body)
@@ -190,7 +190,7 @@
     payload = content.get("spec", "")
     if not isinstance(payload, str) or not _is_payload(payload):
         raise GentianmuxError(ResultCode.BAD_FIELD, "spec is no text of up to 4,000 bytes")
-    _refuse_not_served(content)
+    _check_supported(content)
     rows = content.get("steps")
     if not isinstance(rows, list) or not rows or not all(isinstance(row, dict) for row in rows):
         raise GentianmuxError(ResultCode.BAD_FIELD, "steps is no list of steps")
@@ -207,22 +207,22 @@
         return False
 
 
-def _refuse_not_served(content: dict[str, Any]) -> None:
+def _check_supported(content: dict[str, Any]) -> None:
     if not content.get("best_effort"):
         raise GentianmuxError(ResultCode.NOT_SERVED, "jobs that have to be kept")
-    for name in _NOT_SERVED_OF_JOB:
+    for name in _UNSUPPORTED_JOB_FIELDS:
         if content.get(name):
             raise GentianmuxError(ResultCode.NOT_SERVED, f"jobs with {name}")
 
 
 def _step(number: int, row: dict[str, Any]) -> StepSpec:
-    for name in _NOT_SERVED_OF_STEP:
+    for name in _UNSUPPORTED_STEP_FIELDS:
         if row.get(name):
             raise GentianmuxError(ResultCode.NOT_SERVED, f"steps with {name}")
     after = row.get("after", [])
     if not isinstance(after, list) or not all(type(n) is int and 0 <= n < number for n in after):
         raise GentianmuxError(ResultCode.BAD_FIELD, "after names a step that does not come before")
-    # ``anti_affinity`` is a number: the most tasks of the step on one endpoint.
+    # ``anti_affinity`` is the maximum number of the step's tasks on one endpoint.
     return StepSpec(
         tasks=_whole(row, "count", 1),
         need=Resources(_whole(row, "cpu"), _whole(row, "mem_mb"), _whole(row, "gpu")),
--- a/src/gentianmux/platform/config.py
+++ b/src/gentianmux/platform/config.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as it lies in the platform's store."""
+"""Decodes the operators' configuration from the platform's store."""
 
 from typing import Any
 
@@ -15,13 +15,13 @@
     Raises
     ------
     GentianmuxError
-        ``CHANGE_INVALID`` when it cannot be read; the present one then stays in force.
+        ``CHANGE_INVALID`` when it is malformed; the current one then stays in force.
     """
     try:
         content = read_object(raw)
         return JobConfig(
             version=int(content["version"]),
-            # What the platform calls a route is a queue of jobs.
+            # The platform's term for a queue of jobs is route.
             queues=tuple(_queue(route) for route in content["routes"]),
             limits=_limits(content.get("limits", {})),
             raw=raw,
@@ -37,7 +37,7 @@
         prefix=str(route["path_prefix"]),
         service=str(route["service"]),
         timeout_ms=int(route.get("timeout_ms", 0)),
-        # Not a latency to reach by itself: it is added to the stretched work.
+        # Despite its name only the fixed part of the objective, added to the stretched work.
         target_ms=int(route.get("target_latency_ms", 0)),
         priority=int(route.get("priority", 0)),
         max_attempts=int(route.get("max_attempts", 1)),
@@ -46,17 +46,17 @@
 
 
 def _limits(limits: dict[str, Any]) -> RequestLimits:
-    usual = RequestLimits()
+    defaults = RequestLimits()
     return RequestLimits(
-        max_header_bytes=int(limits.get("max_header_bytes", usual.max_header_bytes)),
-        max_body_bytes=int(limits.get("max_body_bytes", usual.max_body_bytes)),
+        max_header_bytes=int(limits.get("max_header_bytes", defaults.max_header_bytes)),
+        max_body_bytes=int(limits.get("max_body_bytes", defaults.max_body_bytes)),
         header_timeout_s=float(limits.get("header_timeout_ms", 3000)) / 1000,
         idle_timeout_s=float(limits.get("idle_timeout_ms", 15000)) / 1000,
     )
 
 
 EVACUATION_PREFIX = "evacuate/"
-"""How the keys begin by which operators evacuate what the platform calls a zone."""
+"""Prefix of the keys of evacuations; the platform's term for a failure domain is zone."""
 
 CONFIG_SOURCE = ConfigSource("op", "config", decode_config, EVACUATION_PREFIX)
-"""Where the platform keeps the configuration and evacuations: keys of the operators' topic."""
+"""Location of the configuration and evacuations in the platform's store."""
--- a/src/gentianmux/platform/endpoint.py
+++ b/src/gentianmux/platform/endpoint.py
@@ -1,4 +1,4 @@
-"""The endpoint beside an agent, as the platform's page says it is spoken to."""
+"""Client of an agent's endpoint in the platform's protocol."""
 
 import json
 from time import monotonic
@@ -20,33 +20,31 @@
 )
 from ..leased.resources import Resources
 from ..typed_json import get_int, get_number, get_object, get_str, get_str_list, read_object
-from .http_client import HttpCaller, HttpReply
+from .http_client import HttpClient, HttpReply
 
-START_S = 0.08
-"""Seconds for the answer to a start or stop; it takes some 2 ms, and 15 on a slowed machine. One
-that is late only costs a look, since what the endpoint lists decides."""
+COMMAND_TIMEOUT_S = 0.08
+"""Time allowed for the response to a start or stop. A late response only costs one poll, since the
+runs listed by the endpoint are authoritative."""
 
-LOOKS = 2
-"""Looks at once: one that waits for an end, and one that does not wait."""
+POLL_CONNECTIONS = 2
+"""One poll that waits for a run to end, and one that does not wait."""
 
-ORDERS = 3
-"""Starts and stops at once, apart from looks, so that orders without answers hold up no renewal.
-More gain nothing, as an order takes 2 ms of the agent's processor, and connections are paid for:
-with 24 for all calls each agent opened 9 on a quiet day."""
+COMMAND_CONNECTIONS = 3
+"""Concurrent starts and stops. They are separate from polls, so that commands without a response
+cannot delay the renewal of leases."""
 
 EXPECT_INSTANCE = "Gentianmux-Expect-Instance"
-"""Header that names the life of the endpoint a call is meant for."""
+"""Header with the id of the endpoint that a call is meant for."""
 
-REPLACED = 421
-"""Status by which another life of the endpoint answers."""
+REPLACED_STATUS = 421
+"""Status with which an endpoint of another id responds."""
 
-UNTOLD = 0
-"""Stands for the time of an endpoint's start where it does not tell it; its id then is new."""
+UNKNOWN_START_MS = 0
+"""Start time of an endpoint that does not report it; such an endpoint restarts under a new id."""
 
-FENCE_LEAP = 2
-"""Factor by which a fence rises that an endpoint has seen a higher one of: its clock may have begun
-anew, anywhere, since an earlier agent took it as its fence. Ten calls of some 2 ms make up a
-thousandfold."""
+FENCE_FACTOR = 2
+"""Factor by which the fencing token rises after an endpoint has rejected it as too low. Tokens come
+from the endpoint's clock, which may restart at any value, below the token of an earlier agent."""
 
 _STATES = ("ready", "draining")
 
@@ -71,53 +69,58 @@
     Raises
     ------
     ValueError
-        When a field is missing or of another type, or the state is not known: its writer speaks
-        something else, and what it means by the rest cannot be relied on.
+        When a field is missing or of another type, or the state is unknown: the sender then uses
+        another protocol, and its other fields cannot be trusted either.
     """
     room = get_object(content, "capacity")
     state = get_str(content, "state")
     if state not in _STATES:
-        raise ValueError(f"state {state[:40]!r} is not known")
+        raise ValueError(f"state {state[:40]!r} is unknown")
     return EndpointReport(
         endpoint=endpoint,
         address=get_str(content, "address", address),
         service=get_str(content, "service"),
-        # ``zone`` is what this project calls a failure domain.
+        # The platform's term for a failure domain is zone.
         failure_domain=get_str(content, "zone"),
         capacity=Resources(get_int(room, "cpu"), get_int(room, "mem_mb"), get_int(room, "gpu", 0)),
         labels=get_str_list(content, "labels"),
         draining=state == "draining",
         drain_remaining_s=get_number(content, "drain_remaining_ms", 0) / 1000,
         sequence=get_int(content, "seq"),
-        born=get_int(content, "born", UNTOLD),
+        born=get_int(content, "born", UNKNOWN_START_MS),
     )
 
 
 def decode_shutdown_notice(body: bytes) -> int:
-    """When the endpoint that says it ends was started, in Unix milliseconds; 0 when untold.
+    """Decode the start time of an endpoint that shuts down, in Unix milliseconds; 0 if unknown.
 
     Raises
     ------
     ValueError
-        When there is a body that cannot be read.
+        When the body is not empty and malformed.
     """
-    return get_int(read_object(body), "born", UNTOLD) if body else UNTOLD
+    return get_int(read_object(body), "born", UNKNOWN_START_MS) if body else UNKNOWN_START_MS
 
 
 class PlatformEndpoint:
-    """Starts, stops and looks at runs; keeps the endpoint's clock and the agent's fence.
+    """Starts, stops and polls runs; tracks the endpoint's clock and the agent's fencing token.
 
     Parameters
     ----------
     address : str
-        ``ip:port`` of the endpoint on this machine.
+        ``ip:port`` of the endpoint.
     stop_s : float
-        Longest time that a stop takes there, in seconds.
+        Longest time that the endpoint takes to stop a run, in seconds.
+
+    Examples
+    --------
+    ``endpoint.attach(report)``, then ``endpoint.hold(0, 0.1, 0.5, 1.0)`` renews leases and lists
+    the runs; ``endpoint.start("task", 1, payload, 0.5, monotonic())`` starts one.
     """
 
     def __init__(self, address: str, stop_s: float) -> None:
-        self._poll_client = HttpCaller(address, LOOKS)
-        self._command_client = HttpCaller(address, ORDERS)
+        self._poll_client = HttpClient(address, POLL_CONNECTIONS)
+        self._command_client = HttpClient(address, COMMAND_CONNECTIONS)
         self._stop_s = stop_s
         self._headers: dict[str, str] = {}
         self._fence = 0
@@ -125,61 +128,64 @@
         self._clock_at = 0.0
         self._lease_end = 0.0
         self._endpoint = ""
-        self._born = UNTOLD
-        self._lives = 0
+        self._born = UNKNOWN_START_MS
+        self._attach_count = 0
         self._lowest_fence = 0
 
     def attach(self, report: EndpointReport) -> None:
-        """Turn to another life of the endpoint; the first look fixes a new fence.
+        """Switch to another incarnation of the endpoint; the first poll sets a new fencing token.
 
-        A life under the same id may have seen this agent's last fence in a call that was meant for
-        the one before, and hold a run of it: the new fence is higher, the leases last as long.
+        An incarnation with the same id may have received this agent's last token in a call that
+        was meant for the previous one, and hold a run of that call. Hence the new token must be
+        higher, and the end of the requested leases is kept.
         """
         is_same_id = report.endpoint == self._endpoint
         self._lowest_fence = self._fence + 1 if is_same_id else 0
         self._lease_end = self._lease_end if is_same_id else 0.0
         self._endpoint = report.endpoint
         self._born = report.born
-        self._lives += 1
+        self._attach_count += 1
         self._headers = {EXPECT_INSTANCE: report.endpoint}
         self._fence = 0
         self._clock_ms = 0.0
 
     def is_present(self, report: EndpointReport) -> bool | None:
-        """Whether the life that a heartbeat came from is the one that answers."""
+        """Whether the incarnation that sent a heartbeat is the one responding; None if unknown."""
         headers = {EXPECT_INSTANCE: report.endpoint}
         is_same_id = report.endpoint == self._endpoint
-        # Another endpoint must not see a fence of this one's clock.
+        # Another endpoint must not receive a token derived from this one's clock.
         fence = self._fence if is_same_id else 0
         body = json.dumps({"fence": fence, "acknowledged": 0, "wait_ms": 0}).encode()
         try:
-            # It renews and acknowledges nothing; only who answers counts.
-            reply = self._poll_client.call("POST", "/v1/hold", body, START_S, headers)
-            if reply.status == REPLACED:
+            # Renews and acknowledges nothing: only the identity of the responder matters.
+            reply = self._poll_client.call("POST", "/v1/hold", body, COMMAND_TIMEOUT_S, headers)
+            if reply.status == REPLACED_STATUS:
                 return False
             if reply.status != 200:
-                # Refused for the fence: of a known id it stays open which life it is.
+                # Rejected for the token: with the same id the incarnation remains unknown.
                 return None if is_same_id and report.born else True
-            return _born_of(reply.json()) in (UNTOLD, report.born) or not report.born
+            return _born_of(reply.json()) in (UNKNOWN_START_MS, report.born) or not report.born
         except NoAnswer as exc:
-            logger.bind(endpoint=report.endpoint, reason=str(exc)).info("no answer to a probe")
+            logger.bind(endpoint=report.endpoint, reason=str(exc)).info(
+                "endpoint did not answer a probe"
+            )
             return None
 
     def lease_end(self) -> float:
-        """When every lease ever asked for has run out, on the monotonic clock."""
+        """Monotonic time at which every lease requested so far has expired."""
         return self._lease_end
 
     def start(
         self, task: str, run: int, payload: str, lease_s: float, asked_at: float
     ) -> StartResult:
-        """Start a run under a lease that counts from ``asked_at``."""
+        """Start a run under a lease that begins at ``asked_at``, monotonic time."""
         until_ms = self._until(lease_s, asked_at)
         content = {"task": task, "run": run, "spec": payload, "until_ms": until_ms}
         try:
-            reply = self._call(self._command_client, "/v1/run-start", content, START_S)
+            reply = self._call(self._command_client, "/v1/run-start", content, COMMAND_TIMEOUT_S)
             if reply.status == 200:
                 return StartResult.STARTED
-            if reply.status == REPLACED:
+            if reply.status == REPLACED_STATUS:
                 return StartResult.REPLACED
             if reply.status in (429, 503):
                 return StartResult.UNHEALTHY
@@ -189,62 +195,66 @@
                 reason = str(reply.json().get("reason"))
                 return _REFUSED.get(reason, StartResult.REFUSED)
         except NoAnswer as exc:
-            logger.bind(task=task, run=run, reason=str(exc)).debug("no answer to a start")
+            logger.bind(task=task, run=run, reason=str(exc)).debug(
+                "endpoint did not answer a start"
+            )
             return StartResult.NO_ANSWER
-        logger.bind(task=task, run=run, status=reply.status).warning("foreign answer to a start")
+        logger.bind(task=task, run=run, status=reply.status).warning(
+            "unexpected status in answer to a start"
+        )
         return StartResult.NO_ANSWER
 
     def stop(self, task: str, run: int) -> bool:
-        """Stop a run, present or still on its way; whether the endpoint confirmed it."""
+        """Stop a run, even if its start is still in flight; whether the endpoint confirmed it."""
         try:
             content = {"task": task, "run": run}
-            reply = self._call(self._command_client, "/v1/run-stop", content, START_S)
+            reply = self._call(self._command_client, "/v1/run-stop", content, COMMAND_TIMEOUT_S)
         except NoAnswer:
             return False
-        return reply.status in (200, REPLACED)
+        return reply.status in (200, REPLACED_STATUS)
 
     def hold(self, acknowledged: int, wait_s: float, lease_s: float, timeout_s: float) -> HoldReply:
-        """Renew the lease of all runs (0: only look) and wait for an end."""
+        """Renew the lease of all runs (none if ``lease_s`` is 0) and wait for a run to end."""
         if not self._fence:
-            self._raise_fence()
+            self._acquire_fence()
         asked_at = monotonic()
         content: dict[str, Any] = {"acknowledged": acknowledged, "wait_ms": int(wait_s * 1000)}
         if lease_s:
             content["until_ms"] = self._until(lease_s, asked_at)
         reply = self._call(self._poll_client, "/v1/hold", content, timeout_s)
-        if reply.status == REPLACED:
+        if reply.status == REPLACED_STATUS:
             raise EndpointGone
         if reply.status == 409:
-            self._lowest_fence = max(self._lowest_fence, self._fence * FENCE_LEAP)
+            self._lowest_fence = max(self._lowest_fence, self._fence * FENCE_FACTOR)
             self._fence = 0
-            raise NoAnswer("the endpoint has seen a higher fence")
+            raise NoAnswer("the endpoint has received a higher fencing token")
         if reply.status != 200:
-            raise NoAnswer(f"status {reply.status} to a look")
+            raise NoAnswer(f"status {reply.status} to a poll")
         content = reply.json()
-        self._check_life(_born_of(content))
-        return _read_look(content, asked_at)
+        self._check_incarnation(_born_of(content))
+        return _decode_hold_reply(content, asked_at)
 
-    def _check_life(self, born: int) -> None:
-        """Raise unless a look was answered by the life that this agent has turned to.
+    def _check_incarnation(self, born: int) -> None:
+        """Raise unless a poll was answered by the incarnation that this agent is attached to.
 
-        Who answers is at work, whatever its time of start: a time of day may have been set back.
+        Start times are compared for equality only, as the wall clock may have been set back.
         """
-        if UNTOLD not in (born, self._born) and born != self._born:
+        if UNKNOWN_START_MS not in (born, self._born) and born != self._born:
             raise EndpointStartedAgain(born)
 
-    def _raise_fence(self) -> None:
-        """Learn the endpoint's clock, and make it the fence.
+    def _acquire_fence(self) -> None:
+        """Read the endpoint's clock and use it as the fencing token.
 
-        It rises through one life of the endpoint, so orders of earlier agents, even those
-        carried out late, are refused from the next call on. Where the endpoint has started again
-        meanwhile, its clock may be lower than a fence that it has seen.
+        The clock rises during one incarnation of the endpoint, so that commands of earlier agents,
+        even delayed ones, are rejected from the next call on. After a restart the clock may be
+        lower than a token that the endpoint has already received.
         """
         content = {"acknowledged": 0, "wait_ms": 0}
-        reply = self._call(self._poll_client, "/v1/hold", content, START_S)
-        if reply.status == REPLACED:
+        reply = self._call(self._poll_client, "/v1/hold", content, COMMAND_TIMEOUT_S)
+        if reply.status == REPLACED_STATUS:
             raise EndpointGone
         if not self._clock_ms:
-            raise NoAnswer(f"status {reply.status} without a clock")
+            raise NoAnswer(f"status {reply.status} without clock_ms")
         self._fence = max(int(self._clock_ms), self._lowest_fence)
 
     def _until(self, lease_s: float, asked_at: float) -> int:
@@ -254,13 +264,13 @@
         return int(self._clock_ms + (asked_at - self._clock_at) * 1000 + lease_s * 1000)
 
     def _call(
-        self, caller: HttpCaller, path: str, content: dict[str, Any], timeout_s: float
+        self, client: HttpClient, path: str, content: dict[str, Any], timeout_s: float
     ) -> HttpReply:
         body = json.dumps({**content, "fence": self._fence}).encode()
-        lives = self._lives
-        reply = caller.call("POST", path, body, timeout_s, self._headers)
-        # A late answer of an earlier life tells nothing of the present one's clock.
-        if reply.body and reply.status != REPLACED and lives == self._lives:
+        attach_count = self._attach_count
+        reply = client.call("POST", path, body, timeout_s, self._headers)
+        # A late response of an earlier incarnation must not set the current one's clock.
+        if reply.body and reply.status != REPLACED_STATUS and attach_count == self._attach_count:
             clock_ms = reply.json().get("clock_ms")
             if isinstance(clock_ms, int | float) and clock_ms >= self._clock_ms:
                 self._clock_ms, self._clock_at = float(clock_ms), monotonic()
@@ -268,21 +278,21 @@
 
 
 def _born_of(content: dict[str, Any]) -> int:
-    """When the life that lists its runs began, in Unix milliseconds."""
+    """Start time of the incarnation that answered a poll, in Unix milliseconds."""
     try:
-        return get_int(content, "born", UNTOLD)
+        return get_int(content, "born", UNKNOWN_START_MS)
     except ValueError as exc:
-        raise NoAnswer(f"a look that cannot be read: {exc}") from exc
+        raise NoAnswer(f"malformed answer to a poll: {exc}") from exc
 
 
-def _read_look(content: dict[str, Any], asked_at: float) -> HoldReply:
+def _decode_hold_reply(content: dict[str, Any], asked_at: float) -> HoldReply:
     try:
-        # A row's third field is its checkpoint; no job served here asks for any.
+        # The third field of a row is a checkpoint, which no served job uses.
         active = tuple(ActiveRun(str(r[0]), int(r[1]), float(r[3])) for r in content["active"])
         ended = tuple(
             EndRecord(int(r[0]), str(r[1]), int(r[2]), _HOW.get(r[3], RunOutcome.STOPPED))
             for r in content["ended_runs"]
         )
     except (KeyError, TypeError, ValueError, IndexError) as exc:
-        raise NoAnswer(f"a look that cannot be read: {exc!r}") from exc
+        raise NoAnswer(f"malformed answer to a poll: {exc!r}") from exc
     return HoldReply(asked_at, active, ended)
--- a/src/gentianmux/platform/heartbeats.py
+++ b/src/gentianmux/platform/heartbeats.py
@@ -1,4 +1,4 @@
-"""Where the endpoint beside an agent reports itself."""
+"""WSGI application that receives the heartbeats of an agent's endpoint."""
 
 import re
 from collections.abc import Callable, Iterable
@@ -15,7 +15,17 @@
 
 
 class HeartbeatApp:
-    """The WSGI application at an agent's address for its endpoint."""
+    """WSGI application that passes heartbeats and shutdown notices to an agent.
+
+    Parameters
+    ----------
+    agent : Agent
+        Receives the reports.
+    cfg : Settings
+        Bounds on request bodies.
+    endpoint_address : str
+        ``ip:port`` of the endpoint, used where a heartbeat names no address.
+    """
 
     def __init__(self, agent: Agent, cfg: Settings, endpoint_address: str) -> None:
         self._agent = agent
@@ -25,11 +35,11 @@
     def __call__(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Take one heartbeat or farewell."""
+        """Handle one heartbeat or shutdown notice."""
         found = _PATH.match(environ.get("PATH_INFO", ""))
         status = "404 Not Found"
         if found and environ["REQUEST_METHOD"] == "POST":
-            status = self._take(environ, *found.groups())
+            status = self._handle(environ, *found.groups())
         body = b"{}"
         start_response(
             status,
@@ -37,7 +47,7 @@
         )
         return [body]
 
-    def _take(self, environ: dict[str, Any], endpoint: str, call: str) -> str:
+    def _handle(self, environ: dict[str, Any], endpoint: str, call: str) -> str:
         try:
             body = read_body(environ, self._cfg)
             if call == "deregister":
--- a/src/gentianmux/platform/http_client.py
+++ b/src/gentianmux/platform/http_client.py
@@ -1,4 +1,4 @@
-"""Bounded HTTP calls by IP number, for the store and the endpoint."""
+"""HTTP client with time limits and stale connection detection, for the store and the endpoint."""
 
 from socket import IPPROTO_TCP, TCP_NODELAY
 from time import monotonic
@@ -13,30 +13,30 @@
 from ..leased.model import NoAnswer
 from ..typed_json import read_object
 
-CONNECT_S = 0.5
-"""Seconds to connect: a round trip is a few ms, a lost opening packet is sent again after 1 s."""
+CONNECT_TIMEOUT_S = 0.5
+"""Shorter than the kernel's first SYN retransmission, which follows after 1 s."""
 
-LONGEST_CALL_S = 60.0
-"""Seconds that a socket may be silent; each call has a bound of its own, which is shorter."""
+SOCKET_TIMEOUT_S = 60.0
+"""Upper bound for any call; each call has a shorter timeout of its own."""
 
-DOUBTED_AFTER = 2
-"""Calls in a row without an answer after which idle connections are doubted: single answers get
-lost, and a new connection to an endpoint has its price."""
+STALE_AFTER_FAILURES = 2
+"""Consecutive calls without a response after which idle connections are considered stale. A single
+failure is too common to justify new connections to an endpoint."""
 
 
 class HttpReply(NamedTuple):
-    """Status and body of an answer."""
+    """Status and body of a response."""
 
     status: int
     body: bytes
 
     def json(self) -> dict[str, Any]:
-        """The JSON object in the body.
+        """Decode the JSON object in the body.
 
         Raises
         ------
         NoAnswer
-            When the body holds anything else; it is as good as no answer.
+            When the body is not a JSON object; it is treated like a missing response.
         """
         try:
             return read_object(self.body)
@@ -44,15 +44,21 @@
             raise NoAnswer(f"status {self.status}: {exc}") from exc
 
 
-class HttpCaller:
-    """Keeps connections to one address and calls it within time bounds.
+class HttpClient:
+    """Calls one address over a pool of connections, with a timeout for each call.
 
     Parameters
     ----------
     address : str
         ``ip:port``.
     connections : int
-        Most connections at once; further calls wait for one.
+        Maximum number of connections; further calls wait for a free one.
+
+    Examples
+    --------
+    >>> client = HttpClient("127.0.0.1:80", connections=2)
+    >>> client.call("GET", "/healthz", b"", timeout_s=1.0).status
+    200
     """
 
     def __init__(self, address: str, connections: int) -> None:
@@ -60,7 +66,7 @@
         self._client = HTTPClient(ip, int(port))
         self._pool = _Pool(ip, int(port), connections)
         self._client._connection_pool = self._pool
-        self._unanswered_since: list[float] = []
+        self._failed_call_starts: list[float] = []
 
     def call(
         self,
@@ -70,15 +76,15 @@
         timeout_s: float,
         headers: dict[str, str] | None = None,
     ) -> HttpReply:
-        """Call once.
+        """Make one call, without retries.
 
         Raises
         ------
         NoAnswer
-            When no whole answer came in time; the call may have taken effect, or may yet do so.
+            When no complete response arrived in time; the call may still take effect.
         """
         timeout = gevent.Timeout(timeout_s)
-        began = monotonic()
+        started_at = monotonic()
         try:
             with timeout:
                 response = self._client.request(method, path, body=body, headers=headers or {})
@@ -86,17 +92,17 @@
         except HTTP_CALL_ERRORS as exc:
             if isinstance(exc, gevent.Timeout) and exc is not timeout:
                 raise
-            self._doubt(began)
+            self._record_failure(started_at)
             raise NoAnswer(f"{method} {path.partition('?')[0]}: {type(exc).__name__}") from exc
-        self._unanswered_since.clear()
+        self._failed_call_starts.clear()
         return reply
 
-    def _doubt(self, began: float) -> None:
-        """Give up idle connections once calls get no answers: all may have gone silent at once."""
-        self._unanswered_since.append(began)
-        if len(self._unanswered_since) >= DOUBTED_AFTER:
-            self._pool.doubted_before = min(self._unanswered_since)
-            self._unanswered_since.clear()
+    def _record_failure(self, started_at: float) -> None:
+        """Mark idle connections as stale after repeated failures: all may have stalled at once."""
+        self._failed_call_starts.append(started_at)
+        if len(self._failed_call_starts) >= STALE_AFTER_FAILURES:
+            self._pool.stale_before = min(self._failed_call_starts)
+            self._failed_call_starts.clear()
 
     def close(self) -> None:
         """Close all connections."""
@@ -104,7 +110,7 @@
 
 
 class _Pool(ConnectionPool):
-    """Connections to one address; those that last answered before ``doubted_before`` are closed."""
+    """Connection pool that closes connections whose last response is before ``stale_before``."""
 
     def __init__(self, ip: str, port: int, size: int) -> None:
         super().__init__(
@@ -113,20 +119,20 @@
             ip,
             port,
             size=size,
-            connection_timeout=CONNECT_S,
-            network_timeout=LONGEST_CALL_S,
+            connection_timeout=CONNECT_TIMEOUT_S,
+            network_timeout=SOCKET_TIMEOUT_S,
         )
-        self.doubted_before = 0.0
-        self._answered_at: WeakKeyDictionary[Any, float] = WeakKeyDictionary()
+        self.stale_before = 0.0
+        self._last_response_at: WeakKeyDictionary[Any, float] = WeakKeyDictionary()
 
     def after_connect(self, sock: Any) -> None:
-        # Without this a call with a body waits for a delayed acknowledgement, some 40 ms.
+        # Otherwise a call with a body waits for a delayed acknowledgement.
         sock.setsockopt(IPPROTO_TCP, TCP_NODELAY, 1)
 
     def return_socket(self, sock: Any) -> None:
-        self._answered_at[sock] = monotonic()
+        self._last_response_at[sock] = monotonic()
         super().return_socket(sock)
 
     def _is_socket_alive(self, sock: Any) -> bool:
-        doubted = self._answered_at.get(sock, 0.0) < self.doubted_before
-        return not doubted and super()._is_socket_alive(sock)
+        is_stale = self._last_response_at.get(sock, 0.0) < self.stale_before
+        return not is_stale and super()._is_socket_alive(sock)
--- a/src/gentianmux/platform/main.py
+++ b/src/gentianmux/platform/main.py
@@ -1,4 +1,4 @@
-"""Runs one process on the platform: an entry or an agent."""
+"""Runs one entry or agent on the platform."""
 
 import os
 import signal
@@ -19,11 +19,24 @@
 
 
 def run_role(cfg: LeasedSettings, listeners: Listeners) -> int:
-    """Run a process whose addresses are open until it is stopped; return its exit status."""
-    # Addresses are IP numbers, so resolving needs no threads.
+    """Run an entry or agent until it is stopped.
+
+    Parameters
+    ----------
+    cfg : LeasedSettings
+        Settings of the process.
+    listeners : Listeners
+        Sockets that are already listening.
+
+    Returns
+    -------
+    int
+        Exit status of the process.
+    """
+    # All addresses are IP addresses, so the resolver needs no threads.
     gevent.config.resolver = "block"
     base = Process(cfg, PlatformStore(cfg.store_address), CONFIG_SOURCE, listeners)
-    lines = set_up_decision_log(
+    decision_log = set_up_decision_log(
         base.me.process, lambda count: base.metrics.count("logs_dropped", count)
     )
     stopping, reload = Event(), Event()
@@ -31,19 +44,21 @@
         gevent.signal_handler(number, stopping.set)
     gevent.signal_handler(signal.SIGHUP, reload.set)
     logger.bind(role=cfg.role, address=cfg.peer_address, domain=cfg.failure_domain).info("started")
-    gevent.spawn(watch_settings, base, lambda: read_settings_file(cfg.role), _changed_at, reload)
+    gevent.spawn(
+        watch_settings, base, lambda: read_settings_file(cfg.role), _settings_mtime, reload
+    )
     try:
         _run(base, stopping)
     except OSError as exc:
         logger.bind(code=int(ResultCode.BAD_SETTING)).error("cannot start: {}", exc)
-        lines.write_some()
+        decision_log.write_some()
         return EXIT_BAD_SETTING
     logger.info("stopped")
-    lines.write_some()
+    decision_log.write_some()
     return 0
 
 
-# Each role imports only what it uses: start-up time is recovery time, and memory is paid for.
+# Each role imports only what it uses, to keep start-up time and memory low.
 def _run(base: Process, stopping: Event) -> None:
     cfg = base.cfg
     if cfg.role == "agent":
@@ -67,7 +82,7 @@
         )
 
 
-def _changed_at() -> float:
+def _settings_mtime() -> float:
     try:
         return os.stat(os.environ.get(PATH_VARIABLE, "")).st_mtime
     except OSError:
--- a/src/gentianmux/platform/settings.py
+++ b/src/gentianmux/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, decoded into the product's settings."""
+"""Decodes the platform's settings file."""
 
 import os
 import tomllib
@@ -10,23 +10,22 @@
 from ..leased.settings import LeasedSettings
 
 PATH_VARIABLE = "GENTIANMUX_CONFIG"
-"""Environment variable that holds the path of the settings file."""
+"""Environment variable with the path of the settings file."""
 
 METRICS_PORT = 9464
-"""Port of the metrics, as the deploy file names it."""
-
+"""Port where metrics are exposed; it must match ``deploy/system.toml``."""
 
 BYTES_S_PER_MBPS = 1e6 / 8
-"""Bytes a second in a Mbit/s."""
+"""Bytes per second in one Mbit/s."""
 
 
 def read_settings_file(role: str) -> LeasedSettings:
-    """Read the file that the environment names.
+    """Read the settings file that the environment variable ``GENTIANMUX_CONFIG`` names.
 
     Raises
     ------
     GentianmuxError
-        ``BAD_SETTING`` when it is missing or cannot be used.
+        ``BAD_SETTING`` when the file is missing or invalid.
     """
     path = os.environ.get(PATH_VARIABLE, "")
     try:
@@ -38,20 +37,20 @@
 
 
 def decode_settings(role: str, file: dict[str, Any]) -> LeasedSettings:
-    """Decode the content of a settings file."""
+    """Decode a parsed settings file; raises ``ValueError`` or ``KeyError`` for bad content."""
     ip = str(file["ip"])
     listen = file["listen"]
     bounds = file.get("bounds", {})
     limits = file.get("limits", {})
     store = file["platform"]
     peer_port = file["port_range"][0]
-    # ``seeds`` are addresses for heartbeats; other processes listen at the same IP numbers.
+    # Seeds of the platform are heartbeat addresses; peers listen at the same IP addresses.
     seeds = tuple(f"{seed.partition(':')[0]}:{peer_port}" for seed in file.get("seeds", []))
-    usual = LeasedSettings._field_defaults
+    defaults = LeasedSettings._field_defaults
     return LeasedSettings(
         role=role,
         name=str(file["node"]),
-        # ``zone`` is what this project calls a failure domain.
+        # The platform's term for a failure domain is zone.
         failure_domain=str(file["zone"]),
         peer_address=f"{ip}:{peer_port}",
         http_address=str(listen["front"] if role == "entry" else listen["control"]),
@@ -61,10 +60,10 @@
         endpoint_address=str(file.get("app", "")),
         service=str(file.get("service", "")),
         store_address=str(store["address"]),
-        store_retention_s=float(store.get("keep_s", usual["store_retention_s"])),
+        store_retention_s=float(store.get("keep_s", defaults["store_retention_s"])),
         longest_lease_s=float(bounds.get("hold_max_ms", 1000)) / 1000,
         stop_s=float(bounds.get("stop_ms", 50)) / 1000,
-        grace_s=float(bounds.get("grace_s", usual["grace_s"])),
+        grace_s=float(bounds.get("grace_s", defaults["grace_s"])),
         resend_s=float(bounds.get("resend_ms", 1300)) / 1000,
         link_bytes_s=float(limits.get("link_mbps", 0)) * BYTES_S_PER_MBPS,
     )
--- a/src/gentianmux/platform/store.py
+++ b/src/gentianmux/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store: keyed topics of its log, in the form the product relies on."""
+"""Client of the platform's store, which provides keyed topics."""
 
 import base64
 import struct
@@ -11,31 +11,30 @@
 from ..errors import LogError
 from ..leased.model import NoAnswer
 from ..platform_log import Changes, Newest
-from .http_client import HttpCaller, HttpReply
+from .http_client import HttpClient, HttpReply
 
-CALL_S = 1.0
-"""Seconds for one call; the store answers within some 20 ms when it is well, and 50 times slower
-at its slowest, which this still allows."""
+CALL_TIMEOUT_S = 1.0
+"""Timeout of one call; allows for a store that is overloaded."""
 
-CONNECTIONS = 3
-"""Two reads that wait for changes, and one write."""
+MAX_CONNECTIONS = 3
+"""Two long polls for changes, and one write."""
 
-WATCH_SPARE_S = 0.6
-"""Seconds beyond its wait that a read for changes may take: three times the slowest answer of the
-store, and soon enough to notice a connection that went silent."""
+LONG_POLL_MARGIN_S = 0.6
+"""Time that a read for changes may take beyond its wait; bounds how long a stalled connection goes
+unnoticed."""
 
 PARTITION = 0
-"""Keyed topics of this product have one partition: a record an instance and some changes a day."""
+"""The keyed topics are small, with one record per instance, and have a single partition."""
 
-KEYED = "keyed."
-"""How the names of topics begin of which the store keeps the newest record of each key."""
+KEYED_PREFIX = "keyed."
+"""Prefix of the topics of which the store keeps the newest record of each key."""
 
 _LENGTH = struct.Struct("!I")
 _OFFSETS = struct.Struct("!QQ")
 
 
 class PlatformStore:
-    """Reads and writes keyed topics.
+    """Reads and writes keyed topics of the platform's store.
 
     Parameters
     ----------
@@ -46,14 +45,18 @@
     ------
     LogError
         By every call: ``LOG_TRIMMED`` for records no longer kept, ``LOG_UNAVAILABLE`` otherwise.
+
+    Examples
+    --------
+    ``store.put("op", "key", b"value")``, then ``store.newest("op").values["key"]``.
     """
 
     def __init__(self, address: str) -> None:
-        self._http = HttpCaller(address, CONNECTIONS)
-        self._answering = True
+        self._http = HttpClient(address, MAX_CONNECTIONS)
+        self._is_available = True
 
     def put(self, topic: str, key: str, value: bytes) -> None:
-        """Make a value the newest of its key; an empty one drops the key."""
+        """Make a value the newest of its key; an empty value deletes the key."""
         name = key.encode()
         content = bytes([len(name)]) + name + value
         body = _LENGTH.pack(len(content)) + content
@@ -68,26 +71,26 @@
             try:
                 page = reply.json()
                 items = page["items"]
-                # ``value`` is base64 here, though records hold it as it is.
+                # ``value`` is base64 here, unlike in the records of ``log-read``.
                 values |= {item["key"]: base64.b64decode(item["value"]) for item in items}
                 end = int(page["end"])
                 more = bool(page.get("has_more")) and bool(items)
             except (NoAnswer, KeyError, TypeError, ValueError) as exc:
-                raise self._unusable(f"a page of {topic} cannot be read: {exc!r}") from exc
+                raise self._unavailable(f"malformed page of {topic}: {exc!r}") from exc
             if not more:
                 return Newest({key: value for key, value in values.items() if value}, end)
             query["after"] = items[-1]["key"]
 
     def changes(self, topic: str, offset: int, wait_s: float) -> Changes:
-        """Read what came from an offset on, waiting up to ``wait_s`` for something to come."""
+        """Read the records from an offset on, waiting up to ``wait_s`` seconds for the first."""
         query = {**_partition(topic), "from": offset, "wait_ms": int(wait_s * 1000)}
-        reply = self._call("GET", "/v1/log-read", query, timeout_s=wait_s + WATCH_SPARE_S)
+        reply = self._call("GET", "/v1/log-read", query, timeout_s=wait_s + LONG_POLL_MARGIN_S)
         try:
-            # The end of the partition, not of what this answer holds.
+            # ``_end`` is the end of the partition, not of the records in this response.
             _end, _first = _OFFSETS.unpack_from(reply.body)
             records = list(_split(reply.body[_OFFSETS.size :]))
         except (struct.error, ValueError, IndexError) as exc:
-            raise self._unusable(f"records of {topic} cannot be read: {exc!r}") from exc
+            raise self._unavailable(f"malformed records of {topic}: {exc!r}") from exc
         return Changes(records, offset + len(records))
 
     def _call(
@@ -96,40 +99,42 @@
         path: str,
         query: dict[str, str | int],
         body: bytes = b"",
-        timeout_s: float = CALL_S,
+        timeout_s: float = CALL_TIMEOUT_S,
     ) -> HttpReply:
         try:
             reply = self._http.call(method, f"{path}?{urlencode(query)}", body, timeout_s)
         except NoAnswer as exc:
-            raise self._unusable(str(exc)) from exc
+            raise self._unavailable(str(exc)) from exc
         if reply.status == 410:
-            raise LogError(ResultCode.LOG_TRIMMED, f"{path}: older records are gone")
+            raise LogError(
+                ResultCode.LOG_TRIMMED, f"{path}: the requested records are no longer kept"
+            )
         if reply.status != 200:
-            raise self._unusable(f"{path}: status {reply.status}")
-        if not self._answering:
-            self._answering = True
-            logger.info("store answers again")
+            raise self._unavailable(f"{path}: status {reply.status}")
+        if not self._is_available:
+            self._is_available = True
+            logger.info("store available again")
         return reply
 
-    def _unusable(self, reason: str) -> LogError:
-        if self._answering:
-            self._answering = False
+    def _unavailable(self, reason: str) -> LogError:
+        if self._is_available:
+            self._is_available = False
             logger.bind(reason=reason).warning("store lost")
         return LogError(ResultCode.LOG_UNAVAILABLE, reason)
 
 
 def _partition(topic: str) -> dict[str, str | int]:
-    return {"topic": KEYED + topic, "part": PARTITION}
+    return {"topic": KEYED_PREFIX + topic, "part": PARTITION}
 
 
 def _split(data: bytes) -> Iterator[tuple[str, bytes]]:
-    """Keys and values of length-prefixed records; raises ``ValueError`` on a cut one."""
+    """Split length-prefixed records into keys and values; ``ValueError`` if one is truncated."""
     at = 0
     while at < len(data):
         (length,) = _LENGTH.unpack_from(data, at)
         content = data[at + _LENGTH.size : at + _LENGTH.size + length]
         if len(content) < length or not content:
-            raise ValueError("a record is cut off")
+            raise ValueError("truncated record")
         name_end = 1 + content[0]
         yield content[1:name_end].decode(), content[name_end:]
         at += _LENGTH.size + length
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what the platform provides, for tests and trying out."""
+"""Stand-ins for the platform's services, for tests and local experiments."""
--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -11,12 +11,12 @@
 
 
 class Journal:
-    """Writes each start and end to a file, a JSON object a line.
+    """Appends each start and end of a task to a file, as JSON lines.
 
     Parameters
     ----------
     path : str
-        The file; empty to keep nothing.
+        Path of the file; empty to write nothing.
     """
 
     def __init__(self, path: str) -> None:
--- a/tests/platform_deployment.py
+++ b/tests/platform_deployment.py
@@ -1,4 +1,4 @@
-"""Runs stand-ins and real processes of the platform deployment on loopback, for tests."""
+"""A deployment on the platform for tests: real processes and stand-ins on loopback."""
 
 import os
 import signal
@@ -25,7 +25,7 @@
 "max_attempts": 2, "stretch": 1.6}], "services": [{"name": "svc"}], "limits":
 {"max_header_bytes": 16384, "max_body_bytes": 262144, "header_timeout_ms": 3000,
 "idle_timeout_ms": 15000}}"""
-START_S = 20.0
+START_TIMEOUT_S = 20.0
 
 
 @contextmanager
@@ -41,7 +41,12 @@
 
 
 class Deployment:
-    """A store, endpoints, and one process each of entries and agents, all on loopback."""
+    """A store, endpoints, an entry and agents, all on loopback.
+
+    Examples
+    --------
+    ``deployment.start_all()``, then ``deployment.submit("00000000000000a1", job_body())``.
+    """
 
     def __init__(self, folder: Path, agents: int = 2) -> None:
         self.folder = folder
@@ -58,10 +63,10 @@
             name = f"side-{number}"
             self.endpoints[name] = PlatformEndpointApp(f"i-{number}")
             self.apps[name] = self._serve(self.endpoints[name], self.ip_of(name))
-        self._beats = gevent.spawn(self._beat)
+        self._heartbeats = gevent.spawn(self._send_heartbeats)
 
     def _port(self) -> int:
-        """A free port that nothing else of this deployment has been given."""
+        """A free port that is not yet used in this deployment."""
         while (port := free_port()) in self._taken:
             pass
         self._taken.add(port)
@@ -75,18 +80,18 @@
         return address
 
     def ip_of(self, name: str) -> str:
-        """Loopback address of an instance; ports are the same on all of them."""
+        """Loopback address of an instance; all instances use the same ports."""
         kind, _, number = name.partition("-")
         base = 50 if kind == "front" else 100
-        # Runs of the tests beside each other share neither addresses nor the port of metrics.
+        # Concurrent test runs need distinct addresses, as the metrics port is fixed.
         return f"127.0.{1 + os.getpid() % 250}.{base + int(number)}"
 
     def start(self, name: str, role: str) -> None:
-        """Start a process with a settings file of its own."""
+        """Start the process of an instance, with its own settings file."""
         ip = self.ip_of(name)
         path = self.folder / f"{name}.toml"
         path.write_text(self._settings(name, ip))
-        # Its output goes to a file, so that a full pipe never holds it up.
+        # A pipe that nobody reads would block the process once it is full.
         with open(self.folder / f"{name}.log", "ab") as log:
             self.processes[name] = subprocess.Popen(
                 [sys.executable, str(ROOT / "deploy" / "run.py"), role],
@@ -126,31 +131,31 @@
         self.wait_ready()
 
     def wait_ready(self, entry: str = "front-0") -> None:
-        """Wait until an entry says it is ready and every endpoint is looked at."""
-        until = time.monotonic() + START_S
-        while time.monotonic() < until:
-            looked_at = all(endpoint.fence for endpoint in self.endpoints.values())
-            if looked_at and self.get(entry, "ready", "/v1/ready")[0] == 200:
+        """Wait until an entry is ready and every endpoint has been polled."""
+        deadline = time.monotonic() + START_TIMEOUT_S
+        while time.monotonic() < deadline:
+            polled = all(endpoint.fence for endpoint in self.endpoints.values())
+            if polled and self.get(entry, "ready", "/v1/ready")[0] == 200:
                 gevent.sleep(0.3)
                 return
             gevent.sleep(0.05)
         raise AssertionError((self.folder / f"{entry}.log").read_text()[-2000:])
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         while True:
             for name, endpoint in self.endpoints.items():
                 with suppress(OSError):
-                    endpoint.beat(f"{self.ip_of(name)}:{self.ports['control']}")
+                    endpoint.send_heartbeat(f"{self.ip_of(name)}:{self.ports['control']}")
             gevent.sleep(0.3)
 
     def get(self, name: str, port: str, path: str) -> tuple[int, bytes]:
-        """GET from an instance; status 0 when it does not answer."""
+        """Send a GET request to an instance; status 0 when it does not respond."""
         return self.call(name, port, "GET", path)
 
     def call(
         self, name: str, port: str, method: str, path: str, body: bytes = b"", **headers: str
     ) -> tuple[int, bytes]:
-        """Call an instance; status 0 when it does not answer."""
+        """Send a request to an instance; status 0 when it does not respond."""
         number = 9464 if port == "metrics" else self.ports[port]
         client = HTTPClient(self.ip_of(name), number, connection_timeout=1, network_timeout=10)
         sent = {"Host": "h.example", **{k.replace("_", "-"): v for k, v in headers.items()}}
@@ -163,17 +168,17 @@
             client.close()
 
     def submit(self, job_id: str, body: str, entry: str = "front-0") -> tuple[int, bytes]:
-        """Hand in a job and wait for its answer."""
+        """Submit a job and wait for its response."""
         path = f"/q/{job_id}"
         return self.call(entry, "front", "POST", path, body.encode(), Gentianmux_Deadline_Ms="8000")
 
     def log_of(self, name: str) -> str:
-        """What a process has written."""
+        """Output of the process of an instance."""
         return (self.folder / f"{name}.log").read_text()
 
     def stop(self) -> None:
-        """End everything that was started."""
-        self._beats.kill()
+        """Stop all processes and servers."""
+        self._heartbeats.kill()
         for process in self.processes.values():
             with suppress(ProcessLookupError):
                 process.send_signal(signal.SIGKILL)
@@ -183,7 +188,7 @@
 
 
 def job_body(tasks: int = 4, run_ms: int = 100, fail: bool = False) -> str:
-    """A job of one step whose tasks run for a while at the stand-in."""
+    """Body of a job with one step, whose tasks run for ``run_ms`` at the stand-in."""
     spec = f'{{\\"ms\\": {run_ms}, \\"fail\\": {"true" if fail else "false"}}}'
     step = f'{{"count": {tasks}, "cpu": 1600, "mem_mb": 64, "estimate_ms": {run_ms}}}'
     return f'{{"spec": "{spec}", "best_effort": true, "steps": [{step}]}}'
--- a/tests/test_malformed_records.py
+++ b/tests/test_malformed_records.py
@@ -1,4 +1,4 @@
-"""Records of other writers: they name no endpoint and no instance, and the others hold."""
+"""Malformed records of other writers that change state, or hide the valid records around them."""
 
 import json
 from random import Random
@@ -29,7 +29,7 @@
 DEEP = b"[" * 200_000
 
 scalars = st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=5)
-anything = st.recursive(
+json_values = st.recursive(
     scalars, lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(), inner)
 )
 
@@ -61,20 +61,20 @@
         ("capacity", {"mem_mb": 100}),
     ],
 )
-def test_a_heartbeat_with_a_foreign_field_is_none(field: str, value: object) -> None:
+def test_heartbeat_with_a_malformed_field_is_refused(field: str, value: object) -> None:
     with pytest.raises(ValueError):
         decode_heartbeat("i-1", {**HEARTBEAT, field: value}, "10.0.0.1:80")
 
 
 @pytest.mark.parametrize("missing", ["service", "zone", "state", "capacity", "seq"])
-def test_a_heartbeat_without_a_field_is_none(missing: str) -> None:
+def test_heartbeat_with_a_missing_field_is_refused(missing: str) -> None:
     content = {name: value for name, value in HEARTBEAT.items() if name != missing}
     with pytest.raises(ValueError):
         decode_heartbeat("i-1", content, "10.0.0.1:80")
 
 
-@given(st.sampled_from(sorted(HEARTBEAT)), anything)
-def test_any_heartbeat_is_read_whole_or_refused(field: str, value: object) -> None:
+@given(st.sampled_from(sorted(HEARTBEAT)), json_values)
+def test_any_heartbeat_is_decoded_or_refused(field: str, value: object) -> None:
     try:
         report = decode_heartbeat("i-1", {**HEARTBEAT, field: value}, "10.0.0.1:80")
     except ValueError:
@@ -85,12 +85,12 @@
 
 
 @pytest.mark.parametrize("raw", [DEEP, b"\xff\xfe", b"[]", b"null", b'{"a": NaN}', b""])
-def test_bytes_that_hold_no_object_are_a_value_error(raw: bytes) -> None:
+def test_bytes_without_a_json_object_raise_value_error(raw: bytes) -> None:
     with pytest.raises(ValueError):
         read_object(raw)
 
 
-def test_a_deeply_nested_configuration_is_a_numbered_error() -> None:
+def test_deeply_nested_configuration_is_refused() -> None:
     with pytest.raises(GentianmuxError):
         decode_config(DEEP)
 
@@ -110,20 +110,20 @@
         b'{"role": "agent", "address": "10.0.0.1:7720", "report": {}}',
     ],
 )
-def test_a_foreign_announcement_names_no_instance(value: bytes) -> None:
+def test_malformed_announcement_is_ignored(value: bytes) -> None:
     assert decode_announcement("w1", value) is None
 
 
-def test_announcements_of_our_own_are_read_as_written() -> None:
-    for mine in (
+def test_announcement_survives_encoding() -> None:
+    for announcement in (
         Announcement("w1", "agent", "10.0.0.1:7720", REPORT),
         Announcement("e1", "entry", "10.0.0.2:7720"),
     ):
-        assert decode_announcement(mine.name, mine.encode()) == mine
+        assert decode_announcement(announcement.name, announcement.encode()) == announcement
 
 
-@given(st.sampled_from([*REPORT._fields, "role", "address"]), anything)
-def test_any_announcement_is_read_whole_or_passed_over(field: str, value: object) -> None:
+@given(st.sampled_from([*REPORT._fields, "role", "address"]), json_values)
+def test_any_announcement_is_decoded_or_ignored(field: str, value: object) -> None:
     content = json.loads(Announcement("w1", "agent", "10.0.0.1:7720", REPORT).encode())
     (content if field in content else content["report"])[field] = value
     found = decode_announcement("w1", json.dumps(content).encode())
@@ -133,7 +133,7 @@
 
 
 class _Store:
-    """Answers one read with records, and every later one with nothing new."""
+    """Returns fixed records; reads of changes fail."""
 
     def __init__(self, *records: tuple[str, bytes]) -> None:
         self.records = records
@@ -145,13 +145,13 @@
         raise LogError(*_UNAVAILABLE)
 
     def put(self, topic: str, key: str, value: bytes) -> None:
-        raise AssertionError("nothing is written here")
+        raise AssertionError("unexpected write")
 
 
 _UNAVAILABLE = (ResultCode.LOG_UNAVAILABLE, "down")
 
 
-def test_one_unreadable_record_hides_no_other() -> None:
+def test_malformed_record_does_not_hide_others() -> None:
     good = Announcement("e2", "entry", "10.0.0.2:7720")
     store = _Store(("bad", DEEP), ("e2", good.encode()))
     directory = Directory(store, Metrics(Settings(name="e1")))  # type: ignore[arg-type]
@@ -161,20 +161,20 @@
     assert found == [good]
 
 
-def test_a_follower_goes_on_after_an_error_of_what_it_hands_on_to() -> None:
+def test_follower_continues_after_a_callback_error() -> None:
     good = Announcement("e2", "entry", "10.0.0.2:7720")
     directory = Directory(
         _Store(("e2", good.encode())), Metrics(Settings(name="e1"))  # type: ignore[arg-type]
     )
-    directory.on_found = lambda found: (_ for _ in ()).throw(KeyError("a fault of ours"))
+    directory.on_found = lambda found: (_ for _ in ()).throw(KeyError("callback failed"))
     with pytest.raises(KeyError):
         directory.follow_once()
-    # The next call reads on where this one has read to, and does not meet the same record again.
-    directory.on_found = lambda found: pytest.fail("handed on twice")
+    # The next call continues after the record whose callback failed.
+    directory.on_found = lambda found: pytest.fail("record was passed on twice")
     directory.follow_once()
 
 
-def test_the_feed_passes_over_a_configuration_that_cannot_be_read(
+def test_feed_ignores_a_malformed_configuration(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     store = _Store((CONFIG_SOURCE.key, DEEP))
@@ -183,7 +183,7 @@
     assert feed.version == -1
 
 
-def test_foreign_heartbeats_change_nothing_at_the_agent_and_are_counted() -> None:
+def test_heartbeats_of_other_writers_do_not_change_the_agent() -> None:
     world = ready_world()
     agent = world.machines["w0"].agent
     assert agent is not None and agent.report is not None
@@ -201,6 +201,6 @@
     assert_kept(world)
 
 
-def test_the_topic_of_announcements_stays_as_it_is() -> None:
-    # Processes of the last version read it during an upgrade.
+def test_topic_of_announcements_is_unchanged() -> None:
+    # Processes of the previous version read it during an upgrade.
     assert TOPIC == "gentianmux-members"
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: what the platform's wire says, decoded once, and what cannot be read refused."""
+"""Malformed settings, configurations, jobs and answers of the platform that reach the product."""
 
 import json
 import math
@@ -15,9 +15,9 @@
 from gentianmux.errors import GentianmuxError, LogError
 from gentianmux.leased.model import EndpointGone, NoAnswer, RunOutcome, StartResult
 from gentianmux.leased.resources import Resources
-from gentianmux.platform.callers import read_job
+from gentianmux.platform.callers import decode_job
 from gentianmux.platform.config import decode_config
-from gentianmux.platform.endpoint import PlatformEndpoint, _read_look, decode_heartbeat
+from gentianmux.platform.endpoint import PlatformEndpoint, _decode_hold_reply, decode_heartbeat
 from gentianmux.platform.settings import decode_settings, read_settings_file
 from gentianmux.platform.store import PlatformStore
 from standins.platform_endpoint import PlatformEndpointApp
@@ -66,7 +66,7 @@
 # Settings and configuration
 
 
-def test_settings_are_decoded_into_the_products_terms() -> None:
+def test_settings_are_decoded() -> None:
     cfg = decode_settings("agent", FILE)
     assert cfg.peer_address == "10.1.0.14:7720"
     assert cfg.seeds == ("10.1.0.13:7720",)
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "node = 1", "[["])
-def test_unusable_settings_are_a_numbered_error(
+def test_invalid_settings_raise_bad_setting(
     text: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "boot.toml"
@@ -86,7 +86,7 @@
     assert caught.value.code is ResultCode.BAD_SETTING
 
 
-def test_a_configuration_is_decoded() -> None:
+def test_configuration_is_decoded() -> None:
     config = decode_config((CONFIG % 7).encode())
     (queue,) = config.queues
     assert (config.version, queue.host, queue.prefix) == (7, "h.example", "/q/")
@@ -95,19 +95,19 @@
 
 
 @pytest.mark.parametrize("raw", [b"", b"[]", b"{}", b'{"version": 1, "routes": [{}]}', b"\xff"])
-def test_an_unreadable_configuration_is_a_numbered_error(raw: bytes) -> None:
+def test_malformed_configuration_raises_change_invalid(raw: bytes) -> None:
     with pytest.raises(GentianmuxError) as caught:
         decode_config(raw)
     assert caught.value.code is ResultCode.CHANGE_INVALID
 
 
-# Jobs and heartbeats
+# Jobs, polls and heartbeats
 
 
 @given(json_values)
-def test_any_body_is_a_job_or_a_numbered_error(content: object) -> None:
+def test_any_body_is_decoded_or_refused(content: object) -> None:
     try:
-        spec = read_job("0" * 16, json.dumps(content).encode())
+        spec = decode_job("0" * 16, json.dumps(content).encode())
     except GentianmuxError as exc:
         assert exc.code.info.http_status in (400, 422)
     else:
@@ -116,15 +116,15 @@
 
 
 @given(json_values)
-def test_any_look_is_read_or_counts_as_no_answer(content: object) -> None:
+def test_any_poll_answer_is_decoded_or_counts_as_no_answer(content: object) -> None:
     if isinstance(content, dict):
         try:
-            _read_look({"ended_runs": [], **content}, 1.0)
+            _decode_hold_reply({"ended_runs": [], **content}, 1.0)
         except NoAnswer:
             return
 
 
-def test_a_heartbeat_is_decoded() -> None:
+def test_heartbeat_is_decoded() -> None:
     report = decode_heartbeat(
         "i-1", {**REPORT, "state": "draining", "drain_remaining_ms": 1500}, ""
     )
@@ -136,7 +136,7 @@
 # The store
 
 
-def test_the_newest_of_each_key_is_read_over_many_pages() -> None:
+def test_newest_values_are_read_over_many_pages() -> None:
     app = PlatformStoreApp()
     for number in range(1200):
         app.put("keyed.t", f"k{number % 1100}", str(number).encode())
@@ -148,7 +148,7 @@
     assert newest.end == 1201
 
 
-def test_changes_are_waited_for_and_come_in_order() -> None:
+def test_changes_are_awaited_and_ordered() -> None:
     app = PlatformStoreApp()
     with served(app) as address:
         store = PlatformStore(address)
@@ -161,12 +161,12 @@
     assert second.end == 2
 
 
-def test_a_dropped_history_a_refusal_and_silence_are_told_apart() -> None:
-    app = PlatformStoreApp(writes_per_s=1)
+def test_trimmed_history_is_distinguished_from_refusal_and_outage() -> None:
+    app = PlatformStoreApp(max_writes_per_s=1)
     with served(app) as address:
         store = PlatformStore(address)
         app.put("keyed.t", "a", b"1")
-        app.forget_history()
+        app.drop_history()
         with pytest.raises(LogError) as gone:
             store.changes("t", 0, 0.1)
         store.put("t", "b", b"2")
@@ -180,7 +180,7 @@
     assert refused.value.code is silent.value.code is ResultCode.LOG_UNAVAILABLE
 
 
-def test_an_unanswered_write_may_have_been_done_and_may_be_done_again() -> None:
+def test_unanswered_write_can_be_repeated() -> None:
     app = PlatformStoreApp()
     app.unanswered_calls = 1
     with served(app) as address:
@@ -191,10 +191,10 @@
         assert store.newest("t").values == {"a": b"1"}
 
 
-@pytest.mark.parametrize("garbage", [b"[]", b"{}", b"\x00" * 30, b"x"])
-def test_garbage_of_the_store_is_an_error_and_no_crash(garbage: bytes) -> None:
+@pytest.mark.parametrize("malformed_body", [b"[]", b"{}", b"\x00" * 30, b"x"])
+def test_malformed_answer_of_the_store_raises_log_error(malformed_body: bytes) -> None:
     app = PlatformStoreApp()
-    app.garbage = garbage
+    app.malformed_body = malformed_body
     with served(app) as address:
         store = PlatformStore(address)
         with pytest.raises(LogError):
@@ -207,7 +207,7 @@
 # The endpoint
 
 
-def test_a_run_is_started_seen_and_its_end_acknowledged() -> None:
+def test_run_is_started_listed_and_acknowledged() -> None:
     app = PlatformEndpointApp("i-1")
     with served(app) as address:
         driver = PlatformEndpoint(address, 0.05)
@@ -221,7 +221,7 @@
         assert driver.start("t", 1, SPEC, 0.5, monotonic()) is StartResult.OLD_RUN
 
 
-def test_a_later_agent_fences_off_an_earlier_one() -> None:
+def test_later_agent_fences_off_an_earlier_one() -> None:
     app = PlatformEndpointApp("i-1")
     with served(app) as address:
         earlier, later = PlatformEndpoint(address, 0.05), PlatformEndpoint(address, 0.05)
@@ -234,10 +234,10 @@
         assert later.start("t", 1, SPEC, 0.5, monotonic()) is StartResult.STARTED
 
 
-def test_a_stop_also_keeps_a_start_on_its_way_from_running() -> None:
+def test_stop_prevents_a_start_in_flight() -> None:
     app = PlatformEndpointApp("i-1")
     app.delayed_starts = 1
-    app.late_s = 0.1
+    app.start_delay_s = 0.1
     with served(app) as address:
         driver = PlatformEndpoint(address, 0.05)
         driver.attach(report_of())
@@ -248,7 +248,7 @@
         assert app.active() == []
 
 
-def test_another_life_of_the_endpoint_is_noticed() -> None:
+def test_other_endpoint_is_detected() -> None:
     app = PlatformEndpointApp("i-2")
     with served(app) as address:
         driver = PlatformEndpoint(address, 0.05)
@@ -258,7 +258,7 @@
         assert driver.start("t", 1, SPEC, 0.5, monotonic()) is StartResult.REPLACED
 
 
-def test_a_probe_tells_the_present_life_from_others_and_changes_nothing() -> None:
+def test_probe_identifies_the_endpoint_without_side_effects() -> None:
     app = PlatformEndpointApp("i-2")
     with served(app) as address:
         driver = PlatformEndpoint(address, 0.05)
@@ -272,7 +272,7 @@
     assert driver.is_present(report_of("i-2")) is None
 
 
-def test_leases_run_out_when_they_are_not_renewed() -> None:
+def test_lease_expires_without_renewal() -> None:
     app = PlatformEndpointApp("i-1")
     with served(app) as address:
         driver = PlatformEndpoint(address, 0.05)
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -1,4 +1,4 @@
-"""The whole path on the platform as separate processes, against stand-ins on loopback."""
+"""End-to-end tests of entries and agents as separate processes against stand-ins on loopback."""
 
 import json
 import signal
@@ -28,21 +28,21 @@
     return [start for each in deployment.endpoints.values() for start in each.starts]
 
 
-def test_a_job_is_answered_when_all_its_tasks_are_done(deployment: Deployment) -> None:
+def test_job_is_answered_when_all_tasks_are_done(deployment: Deployment) -> None:
     status, body = deployment.submit("00000000000000a1", job_body(tasks=12))
     assert (status, body) == (200, COMPLETED)
     assert len(set(starts(deployment))) == 12
     failed = deployment.submit("00000000000000a2", job_body(tasks=1, fail=True))
     assert failed == (200, b'{"state": "failed"}')
-    # An attempt more on another endpoint, and no more than the queue allows.
+    # The queue allows two attempts.
     assert sum(task.startswith("00000000000000a2") for task, _ in starts(deployment)) == 2
     gevent.sleep(0.3)
     for endpoint in deployment.endpoints.values():
         assert endpoint.acknowledged >= sum(1 for _ in endpoint.starts)
-        assert endpoint.most_cpu <= endpoint.cpu
+        assert endpoint.peak_cpu <= endpoint.cpu
 
 
-def test_bad_input_gets_a_clear_answer_and_never_a_start(deployment: Deployment) -> None:
+def test_invalid_input_is_refused_and_starts_nothing(deployment: Deployment) -> None:
     cases = {
         "not json": (400, "bad_json"),
         "[]": (400, "bad_json"),
@@ -65,12 +65,12 @@
     assert starts(deployment) == []
 
 
-def test_a_configuration_is_in_force_soon_and_never_goes_back(deployment: Deployment) -> None:
+def test_new_configuration_takes_effect_and_older_ones_are_ignored(deployment: Deployment) -> None:
     renamed = CONFIG.replace("/q/", "/new/")
     deployment.store.put("keyed.op", "config", (renamed % 5).encode())
-    until = time.monotonic() + 2.0
+    deadline = time.monotonic() + 2.0
     while deployment.get("front-0", "front", "/new/")[0] != 200:
-        assert time.monotonic() < until
+        assert time.monotonic() < deadline
         gevent.sleep(0.02)
     assert deployment.get("front-0", "front", "/q/")[0] == 404
     deployment.store.put("keyed.op", "config", (CONFIG % 4).encode())
@@ -80,8 +80,8 @@
     assert "configuration unreadable" in deployment.log_of("front-0")
 
 
-def test_a_restarted_entry_serves_while_the_store_is_away(deployment: Deployment) -> None:
-    deployment.store.down = 503
+def test_restarted_entry_serves_during_a_store_outage(deployment: Deployment) -> None:
+    deployment.store.error_status = 503
     deployment.processes["front-0"].kill()
     deployment.processes["front-0"].wait()
     deployment.start("front-0", "entry")
@@ -90,7 +90,7 @@
     assert "store lost" in deployment.log_of("front-0")
 
 
-def test_a_planned_stop_of_an_entry_answers_what_it_has_taken(deployment: Deployment) -> None:
+def test_stopped_entry_answers_accepted_jobs(deployment: Deployment) -> None:
     answer = gevent.spawn(deployment.submit, "00000000000000d1", job_body(run_ms=1500))
     gevent.sleep(0.3)
     deployment.processes["front-0"].send_signal(signal.SIGTERM)
@@ -101,7 +101,7 @@
     assert deployment.processes["front-0"].wait(timeout=8) == 0
 
 
-def test_a_planned_stop_of_an_agent_lets_its_runs_end(deployment: Deployment) -> None:
+def test_stopped_agent_completes_its_runs(deployment: Deployment) -> None:
     answer = gevent.spawn(deployment.submit, "00000000000000e1", job_body(tasks=10, run_ms=1200))
     gevent.sleep(0.4)
     deployment.processes["side-0"].send_signal(signal.SIGTERM)
@@ -110,7 +110,7 @@
     assert deployment.processes["side-0"].wait(timeout=8) == 0
 
 
-def test_a_killed_agent_costs_only_time(deployment: Deployment) -> None:
+def test_job_completes_after_an_agent_is_killed(deployment: Deployment) -> None:
     answer = gevent.spawn(deployment.submit, "00000000000000f1", job_body(tasks=10, run_ms=1000))
     gevent.sleep(0.4)
     deployment.processes["side-0"].kill()
@@ -118,10 +118,10 @@
     deployment.start("side-0", "agent")
     assert answer.get(timeout=9) == (200, COMPLETED)
     for endpoint in deployment.endpoints.values():
-        assert endpoint.most_cpu <= endpoint.cpu
+        assert endpoint.peak_cpu <= endpoint.cpu
 
 
-def test_starts_without_an_answer_and_late_ones_are_no_second_run(deployment: Deployment) -> None:
+def test_unanswered_and_delayed_starts_cause_no_second_run(deployment: Deployment) -> None:
     for endpoint in deployment.endpoints.values():
         endpoint.unanswered_calls = 2
         endpoint.delayed_starts = 2
@@ -129,27 +129,27 @@
     assert (status, body) == (200, COMPLETED)
     gevent.sleep(0.7)
     for endpoint in deployment.endpoints.values():
-        assert endpoint.most_cpu <= endpoint.cpu
+        assert endpoint.peak_cpu <= endpoint.cpu
         assert endpoint.active() == []
 
 
-def test_garbage_of_endpoint_and_store_ends_no_process(deployment: Deployment) -> None:
+def test_malformed_answers_of_endpoint_and_store_end_no_process(deployment: Deployment) -> None:
     for endpoint in deployment.endpoints.values():
-        endpoint.garbage = b"\x00garbage"
-    deployment.store.garbage = b"[1, 2]"
+        endpoint.malformed_body = b"\x00garbage"
+    deployment.store.malformed_body = b"[1, 2]"
     deployment.store.put("keyed.op", "config", (CONFIG % 9).encode())
     gevent.sleep(1.0)
     refused = deployment.submit("0000000000000111", job_body())
     assert refused[0] == 503
     for endpoint in deployment.endpoints.values():
-        endpoint.garbage = b""
-    deployment.store.garbage = b""
+        endpoint.malformed_body = b""
+    deployment.store.malformed_body = b""
     gevent.sleep(0.8)
     assert deployment.submit("0000000000000112", job_body()) == (200, COMPLETED)
     assert all(process.poll() is None for process in deployment.processes.values())
 
 
-def test_a_caller_that_leaves_stops_its_job(deployment: Deployment) -> None:
+def test_job_stops_when_its_caller_disconnects(deployment: Deployment) -> None:
     ip, port = deployment.ip_of("front-0"), deployment.ports["front"]
     body = job_body(tasks=4, run_ms=4000).encode()
     head = f"POST /q/0000000000000121 HTTP/1.1\r\nHost: h.example\r\nContent-Length: {len(body)}"
@@ -160,7 +160,7 @@
     assert [run for each in deployment.endpoints.values() for run in each.active()] == []
 
 
-def test_a_draining_endpoint_is_acknowledged_and_gets_nothing_new(deployment: Deployment) -> None:
+def test_draining_endpoint_receives_no_new_runs(deployment: Deployment) -> None:
     deployment.endpoints["side-0"].draining = True
     gevent.sleep(0.6)
     before = len(deployment.endpoints["side-0"].starts)
@@ -169,7 +169,7 @@
     assert len(deployment.endpoints["side-0"].starts) == before
 
 
-def test_metrics_and_decisions_can_be_read(deployment: Deployment) -> None:
+def test_metrics_and_decision_log(deployment: Deployment) -> None:
     deployment.submit("0000000000000141", job_body())
     status, text = deployment.get("front-0", "metrics", "/metrics")
     assert status == 200
@@ -186,7 +186,7 @@
     assert events[0]["event"] == "started"
 
 
-def test_slow_senders_are_cut_off_and_start_nothing(deployment: Deployment) -> None:
+def test_slow_request_times_out_and_starts_nothing(deployment: Deployment) -> None:
     quick = CONFIG.replace("15000", "400").replace("3000", "400")
     deployment.store.put("keyed.op", "config", (quick % 2).encode())
     gevent.sleep(0.5)
@@ -203,14 +203,14 @@
     assert deployment.submit("0000000000000152", job_body()) == (200, COMPLETED)
 
 
-def test_an_evacuated_zone_gets_nothing_until_it_is_taken_back(deployment: Deployment) -> None:
+def test_evacuated_zone_receives_no_runs_until_reinstated(deployment: Deployment) -> None:
     deployment.store.put("keyed.op", "evacuate/z1", b"{}")
     gevent.sleep(0.3)
     before = starts(deployment)
     status, body = deployment.submit("0000000000000161", job_body())
     assert status == 503
     assert b"evacuated" in body
-    # A process that starts meanwhile has no other account than the store's.
+    # A process that starts during an evacuation learns of it from the store alone.
     deployment.processes["side-0"].kill()
     deployment.processes["side-0"].wait()
     deployment.start("side-0", "agent")
