--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -143,7 +143,7 @@
         batch = StartBatch(
             f"steppe/{number:036}", 0, 1, "steppe", "intake", -1, -1, False, 0, 0, tasks
         )
-        offer = made.accept_batch(batch, "a.1", 0.0, 0)
+        offer = made.offer(batch, "a.1", 0.0, 0)
         assert offer.job is not None
         made.begin(offer.job, offer.queued[0], 0.0)
         made.finish(offer.job, offer.queued[0], TaskResult(0, 0, 0, "o" * 60, 0.0, 1.0))
--- a/bench/leased_capacity.py
+++ b/bench/leased_capacity.py
@@ -33,7 +33,7 @@
         load = AgentLoad(
             1, 0, rng.randrange(0, 16000), 60000, 0, rng.randrange(80, 180), 1, 3, 9000
         )
-        agent.take_load(load, 1.0)
+        agent.apply_report(load, 1.0)
     return view
 
 
--- a/bench/leased_load.py
+++ b/bench/leased_load.py
@@ -23,7 +23,7 @@
 from bench.leased_world import Asked, World
 from bench.processes import ROOT
 from bench.scenario import USUAL, Kind, Power, Scenario
-from gentianmux.leased.job_state import USEFUL_FOR, JobOutcome
+from gentianmux.leased.job_state import USEFUL_OBJECTIVE_FACTOR, JobOutcome
 from gentianmux.leased.resources import Resources
 
 RESULT = ROOT / "bench" / "results" / "leased_load.json"
@@ -212,7 +212,7 @@
 
 def earned(job: Arrival, took_s: float | None) -> float:
     """Credit of a job that took so long; None when it was not served."""
-    if took_s is None or took_s > USEFUL_FOR * job.objective_s:
+    if took_s is None or took_s > USEFUL_OBJECTIVE_FACTOR * job.objective_s:
         return 0.0
     return job.worth if took_s <= job.objective_s else LATE_WORTH * job.worth
 
--- a/bench/leased_speed.py
+++ b/bench/leased_speed.py
@@ -165,12 +165,12 @@
             if number % 100 == 0:
                 # The others were heard of as well.
                 for name in names:
-                    self.view.get_or_add(name).heard_at = self.clock.time
+                    self.view.get_or_add(name).last_heard_at = self.clock.time
             self.end_some(names[number % len(names)])
             if number % (TASKS // PER_REPORT) == 0:
                 self.submit()
             if number % 10 == 0:
-                self.entry.step()
+                self.entry.tick()
                 self.clock.run_due()
 
 
--- a/bench/leased_world.py
+++ b/bench/leased_world.py
@@ -18,7 +18,7 @@
 from gentianmux.codec import encode
 from gentianmux.leased.agent import MAINTENANCE_INTERVAL_S, Agent
 from gentianmux.leased.config_feed import ConfigFeed, ConfigSource
-from gentianmux.leased.entry import LOSS_CHECK_S, STEP_S, Entry
+from gentianmux.leased.entry import LOSS_CHECK_INTERVAL_S, TICK_S, Entry
 from gentianmux.leased.entry_leases import REPORT_INTERVAL_S
 from gentianmux.leased.fleet_view import FleetView
 from gentianmux.leased.job_handle import JobHandle
@@ -251,10 +251,10 @@
         for machine in self.machines.values():
             # As announced in the store.
             cpu = machine.endpoint.capacity.cpu
-            view.expect(machine.name, "s", machine.domain, cpu, self.time)
+            view.expect_agent(machine.name, "s", machine.domain, cpu, self.time)
         self.alive.add(me.process)
-        self.every(STEP_S, me.process, entry.step)
-        self.every(LOSS_CHECK_S, me.process, entry.check_losses)
+        self.every(TICK_S, me.process, entry.tick)
+        self.every(LOSS_CHECK_INTERVAL_S, me.process, entry.check_losses)
 
     def _feed(self, clock: Clock) -> ConfigFeed:
         source = ConfigSource("config", "config", lambda raw: self.config, "evacuate/")
--- a/bench/scenario.py
+++ b/bench/scenario.py
@@ -77,7 +77,7 @@
     """A scenario, the loads, seeds and policies with which it is played.
 
     A policy names constants of modules of ``gentianmux.leased`` and their values, as
-    ``{"admission.OVERTAKING": 1.0}``; an empty one is the product as it is.
+    ``{"admission_policy.WAIT_FACTOR": 1.0}``; an empty one is the product as it is.
     """
 
     name: str
--- a/bench/world.py
+++ b/bench/world.py
@@ -192,7 +192,7 @@
         world.starts.append(Start(self.name, job.key, record.task.number, world.time))
         run = TaskOutcome(ResultCode.OK, record.task.payload)
         run_s = world.run_time(self.name, record.task)
-        world.at(run_s, self.process, self.ctx.executor.on_ended, job, record, run)
+        world.at(run_s, self.process, self.ctx.executor.on_task_ended, job, record, run)
 
     def lost(self, process: str, refused: bool) -> None:
         """React to a lost connection as the real handlers do."""
--- a/src/gentianmux/coordinator.py
+++ b/src/gentianmux/coordinator.py
@@ -62,9 +62,9 @@
             return
         ledger = ctx.shard_manager.owned[shard].ledger
         ruling = ledger.check(msg.key, msg.digest, msg.submitted_ms, ctx.now_ms())
-        self.apply_ruling(ruling, msg, waiter)
+        self.apply_admission(ruling, msg, waiter)
 
-    def apply_ruling(self, ruling: AdmissionResult, msg: Submit, waiter: Waiter) -> None:
+    def apply_admission(self, ruling: AdmissionResult, msg: Submit, waiter: Waiter) -> None:
         """Carry out what the ledger said."""
         if ruling.decision is AdmissionDecision.ADMIT:
             self._admit(msg, waiter, ruling.attempt)
@@ -112,7 +112,9 @@
         if len(self.trails) > MAX_TRAILS:
             del self.trails[next(iter(self.trails))]
 
-    def resume(self, msg: Submit, waiter: Waiter, traces: dict[str, Trace], whole: bool) -> None:
+    def resume_job(
+        self, msg: Submit, waiter: Waiter, traces: dict[str, Trace], whole: bool
+    ) -> None:
         """Go on with a job that an earlier owner began, from the traces of its tasks.
 
         Tasks without a trace start now when every agent that could hold one has answered
@@ -218,7 +220,7 @@
             self._ctx.metrics.count("wasted", label=f"refused_{code.label}")
         else:
             self._ctx.placement.loads[sender].served()
-            self._ctx.placement.on_ended(sender, job.service, ResultCode(result.code))
+            self._ctx.placement.on_task_ended(sender, job.service, ResultCode(result.code))
 
     def _finish_if_done(self, job: Job) -> None:
         if job.open or job.key not in self.jobs:
@@ -310,7 +312,7 @@
         self._ctx.placement.place(job)
         self._finish_if_done(job)
 
-    def run_backlog(self) -> None:
+    def run_backlog_loop(self) -> None:
         """Place what waits and end what is past its time, for as long as the process lives."""
         while True:
             gevent.sleep(RETRY_S)
--- a/src/gentianmux/executor.py
+++ b/src/gentianmux/executor.py
@@ -77,15 +77,15 @@
     def on_batch(self, batch: StartBatch, sender: str) -> None:
         """Take in a job's share of tasks."""
         ctx = self._ctx
-        offer = self.records.accept_batch(batch, sender, ctx.now(), ctx.now_ms())
+        offer = self.records.offer(batch, sender, ctx.now(), ctx.now_ms())
         if offer.refused:
             self._send(sender, batch.key, batch.epoch, offer.refused)
         if offer.job is None:
             return
-        held = batch.how == StartHow.OFFERED and batch.accept_batch in self._offers
+        held = batch.how == StartHow.OFFERED and batch.offer in self._offers
         for record in offer.queued:
             self._admit(offer.job, record, batch.how, held)
-        self._end_offer(batch.accept_batch)
+        self._end_offer(batch.offer)
         self._pump()
         # What was handed back is wanted elsewhere, whatever else of the job runs on here.
         self._flush(offer.job, at_once=True)
@@ -165,9 +165,7 @@
             gevent.sleep(period_s)
             now = self._ctx.now()
             names = [
-                name
-                for name, (_, record) in self.running.items()
-                if now - record.state_since > period_s
+                name for name, (_, record) in self.running.items() if now - record.since > period_s
             ]
             if names:
                 self._ctx.clock.call_soon(self._endpoint.renew, names)
@@ -274,11 +272,11 @@
         except Exception as exc:
             logger.bind(job=job.key, code=int(ResultCode.INTERNAL)).exception("task failed")
             run = TaskOutcome(ResultCode.TASK_UNKNOWN, type(exc).__name__)
-        self.on_ended(job, record, run)
+        self.on_task_ended(job, record, run)
 
-    def on_ended(self, job: JobRecord, record: TaskRecord, run: TaskOutcome) -> None:
+    def on_task_ended(self, job: JobRecord, record: TaskRecord, run: TaskOutcome) -> None:
         """Take in how a task ended."""
-        ran_ms = (self._ctx.now() - record.state_since) * 1000
+        ran_ms = (self._ctx.now() - record.since) * 1000
         result = TaskResult(
             record.task.number, record.attempt, int(run.code), run.output, 0.0, ran_ms
         )
@@ -296,9 +294,9 @@
         return min(longest_s, max(0.001, (job.deadline_ms - self._ctx.now_ms()) / 1000))
 
     def _flush(self, job: JobRecord, at_once: bool = False) -> None:
-        if not job.unsent or (job.open_count and not job.eager and not at_once):
+        if not job.unsent or (job.open and not job.eager and not at_once):
             return
-        if job.open_count and not at_once:
+        if job.open and not at_once:
             self._flush_later(job)
             return
         results, job.unsent = job.unsent, []
--- a/src/gentianmux/http_server.py
+++ b/src/gentianmux/http_server.py
@@ -31,7 +31,7 @@
         return ""
 
     def read_request(self, raw_requestline: Any) -> Any:
-        with gevent.Timeout(self.server.request_s, False):
+        with gevent.Timeout(self.server.request_timeout_s, False):
             return super().read_request(raw_requestline)
         return False
 
@@ -76,7 +76,7 @@
         listeners: Listeners | None = None,
     ) -> None:
         self.idle_s = 300.0
-        self.request_s = cfg.body_timeout_ms / 1000
+        self.request_timeout_s = cfg.body_timeout_ms / 1000
         self._cfg = cfg
         self._context: SSLContext | None = None
         options: dict[str, Any] = {}
--- a/src/gentianmux/leased/admission_controller.py
+++ b/src/gentianmux/leased/admission_controller.py
@@ -4,9 +4,9 @@
 
 from loguru import logger
 
-from .admission import (
+from .admission_policy import (
     LONGEST_RETRY_S,
-    Admission,
+    AdmissionPolicy,
     Decision,
     retry_after_s,
     wait_s,
@@ -33,7 +33,7 @@
     """
 
     def __init__(self, ctx: EntryContext) -> None:
-        self.admissions: defaultdict[str, Admission] = defaultdict(Admission)
+        self.admissions: defaultdict[str, AdmissionPolicy] = defaultdict(AdmissionPolicy)
         self._ctx = ctx
         self._no_agent_since: dict[str, float] = {}
 
@@ -47,7 +47,7 @@
             if now >= admission.next_due or not self._ctx.view.is_served(service, now):
                 self._decide_service(service, admission, now)
 
-    def _decide_service(self, service: str, admission: Admission, now: float) -> None:
+    def _decide_service(self, service: str, admission: AdmissionPolicy, now: float) -> None:
         view = self._ctx.view
         entries = max(1, view.entries(now))
         jobs = self._ctx.backlog.get_or_add(service)
--- a/src/gentianmux/leased/admission.py
+++ b/src/gentianmux/leased/admission_policy.py
@@ -13,7 +13,7 @@
 use to the caller, and the objective rests on an estimate that may be 40 % too high."""
 
 
-OVERTAKING = 4.0
+WAIT_FACTOR = 4.0
 """How many times longer than the work ahead of it a waiting job is taken to wait. More urgent jobs
 that come later overtake it, rooms do not fit exactly, and estimates are off. At 1.9 times the usual
 load of the deployments (``bench.leased_load``, 6 seeds) 16 % of jobs were late with 1, 5 % with 3,
@@ -25,11 +25,11 @@
 Of 136 jobs kept to be late at 1.4 and 1.9 times the usual load (``bench.leased_load``, 3 seeds) 84
 waited in vain without a look at what arrives, 43 of 81 over 2 s and 18 of 40 over 1 s."""
 
-LEAST_SEEN_S = 1.0
+MIN_OBSERVATION_S = 1.0
 """Seconds of a process before its arrivals say anything: the callers of an entry that has restarted
 send again all at once."""
 
-LEAST_LEFT = 0.1
+MIN_SPARE_RATIO = 0.1
 """Part of the capacity that arrivals must leave for late jobs ever to be reached: the estimate of
 what arrives is as much in error."""
 
@@ -65,7 +65,7 @@
     """How long a job with work ahead of it has to wait, in seconds."""
     if load.capacity_cpu <= 0:
         return float("inf")
-    return OVERTAKING * load.ahead_cpu_s / load.capacity_cpu
+    return WAIT_FACTOR * load.ahead_cpu_s / load.capacity_cpu
 
 
 def late_wait_s(load: Load, arriving_cpu: float | None) -> float:
@@ -81,7 +81,7 @@
     if arriving_cpu is None or load.capacity_cpu <= 0:
         return wait_s(load)
     left = 1.0 - arriving_cpu / load.capacity_cpu
-    if left < LEAST_LEFT:
+    if left < MIN_SPARE_RATIO:
         return float("inf")
     return max(wait_s(load), load.ahead_cpu_s / (load.capacity_cpu * left))
 
@@ -124,7 +124,7 @@
     def rate(self, now: float) -> float | None:
         """Mean over the last ``ARRIVALS_S``; None while too little was seen."""
         self._forget(now)
-        if self._first_at is None or now - self._first_at < LEAST_SEEN_S:
+        if self._first_at is None or now - self._first_at < MIN_OBSERVATION_S:
             return None
         seen_s = min(ARRIVALS_S, now - self._first_at)
         return sum(work for _, work in self._recent) / seen_s
@@ -162,7 +162,7 @@
     given_up: list[JobState]
 
 
-class Admission:
+class AdmissionPolicy:
     """Decides the waiting jobs of one service, and learns from what it kept in vain; pure.
 
     Attributes
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -39,12 +39,12 @@
     EndpointReport,
     RunOutcome,
 )
-from .payloads import unpack
+from .payloads import decode_payload
 from .resources import Resources
+from .run_monitor import RunWatch
 from .run_starter import RunStarts
-from .run_stops import RunStops
+from .run_stopper import RunStops
 from .run_table import Finished, RunTable
-from .run_watch import RunWatch
 from .settings import LeasedSettings
 
 MAINTENANCE_INTERVAL_S = REPORT_INTERVAL_S / 2
@@ -240,7 +240,7 @@
         self._ctx.reports.applied[entry] = max(msg.number, self._ctx.reports.applied.get(entry, 0))
         fresh = self._chain.holds(entry, now)
         refused = False
-        payloads = [unpack(payload) for payload in msg.payloads]
+        payloads = [decode_payload(payload) for payload in msg.payloads]
         for task in msg.tasks:
             payload = payloads[task.payload]
             how = self._starts.begin(task, payload, entry) if fresh else RunOutcome.NOT_STARTED
--- a/src/gentianmux/leased/backlog.py
+++ b/src/gentianmux/leased/backlog.py
@@ -5,7 +5,7 @@
 from math import inf
 from typing import NamedTuple
 
-from .admission import urgency
+from .admission_policy import urgency
 from .job_state import JobState, Waiting
 from .resources import NO_RESOURCES, Resources
 
--- a/src/gentianmux/leased/entry.py
+++ b/src/gentianmux/leased/entry.py
@@ -30,12 +30,12 @@
 from .job_state import JobOutcome, JobState, longest_chain_s
 from .links import Links
 from .model import JobSpec, QueueConfig, RunOutcome
-from .placing import Placer
+from .placer import Placer
 from .resources import NO_RESOURCES
 from .run_completions import RunCompletions
 from .shutdown import finishes_before_shutdown
 
-STEP_S = 0.01
+TICK_S = 0.01
 """Seconds between checks of deadlines and refusals, a quarter of the time in which the shortest
 job, of 50 ms, is decided."""
 
@@ -43,7 +43,7 @@
 """The same while nothing waits for room: a job is placed as it comes, and decided 38 ms later at
 the earliest. A turn that finds nothing takes some 80 us (2,004 turns, by processor time)."""
 
-LOSS_CHECK_S = 0.05
+LOSS_CHECK_INTERVAL_S = 0.05
 """Seconds between checks for lost agents, which are given up 1.1 s after their last report."""
 
 LAST_REQUESTS_S = 0.1
@@ -90,7 +90,7 @@
         self._ends = RunCompletions(self._ctx)
         self._admitting = AdmissionController(self._ctx)
         self._placer = Placer(self._ctx, self._ends, self._admitting.admissions)
-        self.leaving = False
+        self.shutting_down = False
         self._shutdown_at = float("inf")
         self._idle_since: float | None = None
         links.on_open = self._on_open
@@ -106,7 +106,7 @@
     def is_ready(self) -> bool:
         """Whether callers should be sent here."""
         reachable = self._ctx.view.is_reachable(self._ctx.clock.now())
-        return not self.leaving and self._ctx.feed.current is not None and reachable
+        return not self.shutting_down and self._ctx.feed.current is not None and reachable
 
     # Jobs
 
@@ -130,7 +130,7 @@
         """Monotonic time in seconds, as deadlines of jobs are counted."""
         return self._ctx.clock.now()
 
-    def pending(self, queue: str) -> int:
+    def unstarted_jobs(self, queue: str) -> int:
         """Jobs of a queue of which nothing has begun."""
         waiting = (job for job in self._ctx.backlog if not job.began)
         return sum(1 for job in waiting if job.queue.name == queue)
@@ -157,7 +157,7 @@
     def _(self, msg: AgentLoad, agent: str) -> None:
         view = self._ctx.view.get_or_add(agent)
         now = self._ctx.clock.now()
-        view.take_load(msg, now)
+        view.apply_report(msg, now)
         self._ctx.window.told(agent, msg.applied, now)
         self._config_transfer.on_version(agent, msg.config_version)
         if view.free.cpu > 0:
@@ -172,7 +172,7 @@
         view = self._ctx.view.get_or_add(agent)
         before = view.state
         view.state = msg
-        view.heard_at = self._ctx.clock.now()
+        view.last_heard_at = self._ctx.clock.now()
         if before != msg:
             logger.bind(
                 peer=agent, endpoint=msg.incarnation, accepting=msg.accepting, service=msg.service
@@ -227,7 +227,7 @@
         """Keep what the agent holds until it is surely over: it may connect again."""
         view = self._ctx.view.agents.get(agent)
         if view is not None:
-            view.offer(NO_RESOURCES)
+            view.set_offered(NO_RESOURCES)
         self._ctx.window.forget(agent)
 
     # Upkeep
@@ -236,12 +236,12 @@
         """Spawn the loops of this controller."""
         return [
             gevent.spawn(run_periodically, 0.0, self._step_and_rest),
-            gevent.spawn(run_periodically, LOSS_CHECK_S, self.check_losses),
+            gevent.spawn(run_periodically, LOSS_CHECK_INTERVAL_S, self.check_losses),
         ]
 
     def _step_and_rest(self) -> None:
-        self.step()
-        gevent.sleep(STEP_S if self._ctx.backlog else IDLE_STEP_S)
+        self.tick()
+        gevent.sleep(TICK_S if self._ctx.backlog else IDLE_STEP_S)
 
     def check_losses(self) -> None:
         """End what lost agents had, and close connections that have been silent for long."""
@@ -251,7 +251,7 @@
                 self._ends.lose(process, "silent for longer than every lease")
         self._ctx.links.close_idle()
 
-    def step(self) -> None:
+    def tick(self) -> None:
         """One round: passed deadlines, jobs that cannot be in time, placing."""
         now = self._ctx.clock.now()
         for handle in list(self._ctx.jobs.values()):
@@ -272,7 +272,7 @@
             )
         self._ctx.metrics.gauge("link_window_bytes", window.limit)
 
-    def takes(self, spec: JobSpec) -> bool:
+    def accepts(self, spec: JobSpec) -> bool:
         """Whether a job can be expected to end before this process does."""
         return finishes_before_shutdown(
             longest_chain_s(spec), self._shutdown_at - self._ctx.clock.now()
@@ -293,7 +293,7 @@
 
     def begin_shutdown(self, until: float) -> None:
         """Take only what can be expected to end before ``until``."""
-        self.leaving = True
+        self.shutting_down = True
         self._shutdown_at = until
 
     def is_drained(self) -> bool:
--- a/src/gentianmux/leased/fleet_view.py
+++ b/src/gentianmux/leased/fleet_view.py
@@ -23,7 +23,7 @@
 """Agents looked at for one round of placing: four times the sample, so that a quarter of them may
 be silent, leaving or of other services. A round then costs the same however many there are."""
 
-EXPECTED_S = 2.0
+EXPECTED_AGENT_TTL_S = 2.0
 """Seconds for which an announced agent counts as capacity before it is heard of; all are connected
 1.5 s after every process has restarted."""
 
@@ -47,7 +47,7 @@
 
     process: str
     state: EndpointState | None = None
-    heard_at: float = 0.0
+    last_heard_at: float = 0.0
     newest_load: int = 0
     free: Resources = NO_RESOURCES
     slowness: float = 1.0
@@ -61,7 +61,7 @@
     echoed_at: float = 0.0
     seen: int = 0
 
-    def offer(self, room: Resources) -> None:
+    def set_offered(self, room: Resources) -> None:
         """Take note of the room that the agent offers now."""
         self._offered = room
         for taken in self._pending.values():
@@ -73,9 +73,9 @@
         self._pending[number] = self._pending.get(number, NO_RESOURCES).plus(need)
         self.free = self.free.minus(need)
 
-    def take_load(self, load: AgentLoad, now: float) -> None:
+    def apply_report(self, load: AgentLoad, now: float) -> None:
         """Take in a load report; reports overtaken by a newer one count only as a sign of life."""
-        self.heard_at = now
+        self.last_heard_at = now
         if load.number <= self.newest_load:
             return
         self.newest_load = load.number
@@ -84,7 +84,7 @@
         self.longest_ms = load.longest_ms
         for number in [number for number in self._pending if number <= load.applied]:
             del self._pending[number]
-        self.offer(Resources(load.cpu, load.mem_mb, load.gpu))
+        self.set_offered(Resources(load.cpu, load.mem_mb, load.gpu))
 
     def echoed(self) -> None:
         """Note that the newest report is echoed, be it with an assignment or with claims.
@@ -92,7 +92,7 @@
         It may be old, and the next one must not be left out: taken for an echo of now, it let the
         lease chain of a pair without runs end 0.01 s before its next echo, and 12 runs with it.
         """
-        self.echoed_at = max(self.echoed_at, self.heard_at)
+        self.echoed_at = max(self.echoed_at, self.last_heard_at)
 
     @property
     def is_leaving(self) -> bool:
@@ -101,7 +101,7 @@
 
     def is_fresh(self, now: float) -> bool:
         """Whether the agent was heard of lately."""
-        return now - self.heard_at <= SILENT_S
+        return now - self.last_heard_at <= SILENT_S
 
 
 class Expected(NamedTuple):
@@ -173,7 +173,7 @@
     def is_over(self, process: str, now: float) -> bool:
         """Whether nothing that the agent was assigned can still run."""
         view = self.agents.get(process)
-        return view is None or now > leases_expire_at(view.heard_at, self._lease_s)
+        return view is None or now > leases_expire_at(view.last_heard_at, self._lease_s)
 
     def is_reachable(self, now: float) -> bool:
         """Whether any agent with an endpoint was heard of lately."""
@@ -216,13 +216,15 @@
         """Agents that serve a service and have not just refused a run."""
         return [agent for agent in self.serving(service, now) if now >= agent.failed_until]
 
-    def expect(self, node: str, service: str, failure_domain: str, cpu: int, now: float) -> None:
+    def expect_agent(
+        self, node: str, service: str, failure_domain: str, cpu: int, now: float
+    ) -> None:
         """Count an announced agent as capacity for a while, unless it is heard of first.
 
         Judged by the few agents that have connected in the first second after everything
         restarts, jobs were refused that the others had room for: 65 of them on one day.
         """
-        self._expected[node] = Expected(service, failure_domain, cpu, now + EXPECTED_S)
+        self._expected[node] = Expected(service, failure_domain, cpu, now + EXPECTED_AGENT_TTL_S)
 
     def capacity_cpu(self, service: str, now: float) -> float:
         """Cores of all endpoints that serve a service, extrapolated when there are many."""
--- a/src/gentianmux/leased/job_state.py
+++ b/src/gentianmux/leased/job_state.py
@@ -6,13 +6,13 @@
 from typing import NamedTuple
 
 from .model import JobSpec, QueueConfig, RunOutcome, StepSpec
-from .payloads import pack
+from .payloads import encode_payload
 from .resources import NO_RESOURCES, Resources
 
 FIRST_RUN = 1
 """Runs of a task are numbered from here."""
 
-USEFUL_FOR = 3.0
+USEFUL_OBJECTIVE_FACTOR = 3.0
 """Multiples of its latency objective up to which an answer still is of use to its caller; from the
 users' pages."""
 
@@ -119,11 +119,11 @@
         self.chain_s = longest_chain_s(spec)
         self.objective_s = queue.stretch * self.chain_s + queue.target_ms / 1000
         self.latest_start = now + self.objective_s - self.chain_s
-        useful_s = USEFUL_MARGIN * USEFUL_FOR * self.objective_s
+        useful_s = USEFUL_MARGIN * USEFUL_OBJECTIVE_FACTOR * self.objective_s
         self.last_useful_start = now + useful_s - self.chain_s
         self.work_cpu_s = sum(s.tasks * s.need.cpu * s.estimate_ms for s in spec.steps) / 1e6
         self.cpu = sum(s.tasks * s.need.cpu for s in spec.steps) / 1000
-        self.payload = pack(spec.payload)
+        self.payload = encode_payload(spec.payload)
         self.bytes_a_task = len(self.payload) // 2 + TASK_BYTES
         self.began = False
         self.timeliness = Timeliness.OPEN
--- a/src/gentianmux/leased/payloads.py
+++ b/src/gentianmux/leased/payloads.py
@@ -16,12 +16,12 @@
 PLAIN, PACKED = b"\0", b"\1"
 
 
-def pack(payload: str) -> bytes:
+def encode_payload(payload: str) -> bytes:
     """The bytes that stand for a payload between processes.
 
     Examples
     --------
-    >>> unpack(pack("weigh")), len(pack("weigh" * 200)) < 100
+    >>> decode_payload(encode_payload("weigh")), len(encode_payload("weigh" * 200)) < 100
     ('weigh', True)
     """
     raw = payload.encode()
@@ -31,7 +31,7 @@
     return PACKED + packed if len(packed) < len(raw) else PLAIN + raw
 
 
-def unpack(data: bytes) -> str:
+def decode_payload(data: bytes) -> str:
     """The payload that some bytes stand for.
 
     Raises
--- a/src/gentianmux/leased/placing.py
+++ b/src/gentianmux/leased/placer.py
@@ -5,7 +5,7 @@
 from loguru import logger
 
 from ..messages import Assign, LeasedTask
-from .admission import Admission
+from .admission_policy import AdmissionPolicy
 from .candidates import Candidates
 from .claims import signature
 from .entry_context import EntryContext
@@ -19,7 +19,7 @@
 """Seconds between tellings of all agents that runs wait: four of the shortest waits for room."""
 
 
-TOGETHER = 4
+COLOCATED_TASKS = 4
 """Tasks of one job that go to one endpoint before the next is chosen. Each on the emptiest, as with
 1, a job hung on many of them: with a sixth of 12 endpoints standing still 95.5 % of jobs were in
 time, with 4 97.3 %; with as many agents killed 97.6 and 98.9 %. Frames fell by 27 %, and under 0.8,
@@ -45,7 +45,7 @@
     """
 
     def __init__(
-        self, ctx: EntryContext, ends: RunCompletions, admissions: defaultdict[str, Admission]
+        self, ctx: EntryContext, ends: RunCompletions, admissions: defaultdict[str, AdmissionPolicy]
     ) -> None:
         self._ctx = ctx
         self._ends = ends
@@ -115,7 +115,7 @@
         if chosen and not began:
             self._admissions[job.queue.service].begins(job, now)
         if chosen:
-            oldest = min(self._ctx.view.get_or_add(process).heard_at for process in chosen)
+            oldest = min(self._ctx.view.get_or_add(process).last_heard_at for process in chosen)
             logger.bind(
                 job=job.spec.job_id,
                 agents=dict(chosen),
@@ -142,7 +142,7 @@
         together = 0
         for task in job.ready():
             request = self._wish(job, task, now)
-            agent = candidates.take_again(request) if 0 < together < TOGETHER else None
+            agent = candidates.take_again(request) if 0 < together < COLOCATED_TASKS else None
             together = together + 1 if agent is not None else 1
             agent = agent or candidates.take(request)
             if agent is None or agent.state is None:
@@ -229,7 +229,7 @@
         """
         for agent in self._ctx.view.agents.values():
             if agent.told and agent.free.cpu > 0 and not self._is_of_use(agent):
-                agent.offer(NO_RESOURCES)
+                agent.set_offered(NO_RESOURCES)
                 self._ctx.echo(agent, gives_back=True)
 
     def _is_of_use(self, agent: AgentView) -> bool:
--- a/src/gentianmux/leased/process.py
+++ b/src/gentianmux/leased/process.py
@@ -194,7 +194,7 @@
         if preferred and found.report is not None:
             report = found.report
             cpu, domain = report.capacity.cpu, report.failure_domain
-            view.expect(found.name, report.service, domain, cpu, base.clock.now())
+            view.expect_agent(found.name, report.service, domain, cpu, base.clock.now())
 
     directory.on_found = on_announcement
     base.links.start()
@@ -205,7 +205,7 @@
 
     def limit(limits: Any) -> None:
         app.limit(limits)
-        callers.request_s = limits.header_timeout_s
+        callers.request_timeout_s = limits.header_timeout_s
         callers.idle_s = limits.idle_timeout_s
 
     base.feed.on_change = lambda config: limit(config.limits)
--- a/src/gentianmux/leased/progress.py
+++ b/src/gentianmux/leased/progress.py
@@ -12,21 +12,21 @@
 
 Estimates are off by up to some 40 % either way, so twice the estimate is still ordinary."""
 
-LEAST_SEEN_S = 0.12
+MIN_OBSERVATION_S = 0.12
 """Seconds of a run before its rate says anything: one report of progress and some rounding."""
 
 
-class Progress(NamedTuple):
+class RunProgress(NamedTuple):
     """What has been seen of one run: how far it is and since when it has been there."""
 
     began: float
     percent: float = 0.0
     moved_at: float = 0.0
 
-    def seen(self, percent: float, now: float) -> "Progress":
+    def updated(self, percent: float, now: float) -> "Progress":
         """Take in a report."""
         if percent > self.percent or not self.moved_at:
-            return Progress(self.began, percent, now)
+            return RunProgress(self.began, percent, now)
         return self
 
     def is_stalled(self, now: float) -> bool:
@@ -34,10 +34,10 @@
         since = self.moved_at or self.began
         return now - since > STALL_S and self.percent < 100
 
-    def heading_for_ms(self, now: float) -> float | None:
+    def projected_ms(self, now: float) -> float | None:
         """Run time it is heading for, in ms; None while too little was seen."""
         elapsed = now - self.began
-        if elapsed < LEAST_SEEN_S:
+        if elapsed < MIN_OBSERVATION_S:
             return None
         done = max(self.percent, 0.5) / 100
         return elapsed * 1000 / done
--- a/src/gentianmux/leased/run_watch.py
+++ b/src/gentianmux/leased/run_monitor.py
@@ -3,7 +3,7 @@
 from .agent_context import AgentContext
 from .model import RunOutcome
 from .progress import SLOW_FACTOR
-from .run_stops import RunStops
+from .run_stopper import RunStops
 from .run_table import Phase, Run
 
 SLOW_MARGIN_MS = 100
@@ -51,7 +51,7 @@
             self._ctx.reports.load_soon()
 
     def _is_slow(self, run: Run, now: float) -> bool:
-        heading_ms = run.progress.heading_for_ms(now)
+        heading_ms = run.progress.projected_ms(now)
         return (
             heading_ms is not None and heading_ms > SLOW_FACTOR * run.estimate_ms + SLOW_MARGIN_MS
         )
@@ -60,7 +60,7 @@
         """Stop runs that the draining endpoint will not finish, so that they begin elsewhere."""
         now = self._ctx.clock.now()
         for run in list(self._ctx.table.runs.values()):
-            heading_ms = run.progress.heading_for_ms(now) or float(run.estimate_ms)
+            heading_ms = run.progress.projected_ms(now) or float(run.estimate_ms)
             left_s = heading_ms / 1000 - (now - run.began)
             if run.phase is Phase.RUNNING and left_s > remaining_s + MOVE_ON_DRAIN_S:
                 self._stops.stop(
--- a/src/gentianmux/leased/run_starter.py
+++ b/src/gentianmux/leased/run_starter.py
@@ -6,7 +6,7 @@
 from .agent_context import AgentContext, job_of
 from .model import RunOutcome, StartResult
 from .resources import Resources
-from .run_stops import RunStops
+from .run_stopper import RunStops
 from .run_table import RunKey
 from .withdrawn_runs import WithdrawnRuns
 
--- a/src/gentianmux/leased/run_table.py
+++ b/src/gentianmux/leased/run_table.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from .model import HoldReply, RunOutcome
-from .progress import Progress
+from .progress import RunProgress
 from .resources import ResourcePool, Resources
 
 RunKey = tuple[str, int]
@@ -52,7 +52,7 @@
     listed: bool = False
     carried: bool = False
     missing: int = 0
-    progress: Progress = field(default_factory=lambda: Progress(0.0))
+    progress: RunProgress = field(default_factory=lambda: RunProgress(0.0))
 
     @property
     def confirmed(self) -> bool:
@@ -125,7 +125,7 @@
         """Take room for a run about to be started; false when there is none."""
         if key in self.runs or not self.room.allocate(key, need):
             return False
-        self.runs[key] = Run(key, entry, need, estimate_ms, now, progress=Progress(now))
+        self.runs[key] = Run(key, entry, need, estimate_ms, now, progress=RunProgress(now))
         return True
 
     def runs_of_task(self, task: str) -> list[Run]:
@@ -217,7 +217,7 @@
     def _seen_active(self, run: Run, percent: float, now: float) -> None:
         run.missing = 0
         run.listed = True
-        run.progress = run.progress.seen(percent, now)
+        run.progress = run.progress.updated(percent, now)
         if run.phase in (Phase.STARTING, Phase.DOUBTFUL):
             run.phase = Phase.RUNNING
             run.answered_at = now
--- a/src/gentianmux/losses.py
+++ b/src/gentianmux/losses.py
@@ -6,7 +6,7 @@
 from datetime import datetime
 from typing import Any, NamedTuple, TypedDict
 
-from .leased.job_state import USEFUL_FOR
+from .leased.job_state import USEFUL_OBJECTIVE_FACTOR
 
 NEAR_IDEAL = 1.15
 """Multiple of its longest run up to which a job was in time whatever its objective says: that rests
@@ -190,7 +190,7 @@
         return str(fields["outcome"]).replace("_", " ")
     if took_ms <= max(objective_ms, NEAR_IDEAL * ideal_ms):
         return "in time"
-    return "late" if took_ms <= USEFUL_FOR * objective_ms else "too late"
+    return "late" if took_ms <= USEFUL_OBJECTIVE_FACTOR * objective_ms else "too late"
 
 
 def _cause(
--- a/src/gentianmux/node.py
+++ b/src/gentianmux/node.py
@@ -93,7 +93,7 @@
         loops = [self.stream_reader.run, self.gossip.run, self._upkeep]
         if self.ctx.is_agent:
             ctx = self.ctx
-            loops += [ctx.shard_manager.run_leases, ctx.coordinator.run_backlog]
+            loops += [ctx.shard_manager.run_leases, ctx.coordinator.run_backlog_loop]
             loops += [ctx.executor.run_lease_renewals]
         self._loops = [gevent.spawn(loop) for loop in loops]
         logger.info("started as {} on {}", self.ctx.identity.role, self.ctx.cfg.peer_address)
--- a/src/gentianmux/placement.py
+++ b/src/gentianmux/placement.py
@@ -141,7 +141,7 @@
         local = join.failure_domain == self._ctx.identity.failure_domain
         return Candidate(join.process, join.slots, local, load)
 
-    def on_ended(self, agent: str, service: str, code: ResultCode) -> None:
+    def on_task_ended(self, agent: str, service: str, code: ResultCode) -> None:
         """Note how a task ended, for the health of its agent."""
         failed = code in (ResultCode.TASK_FAILED, ResultCode.TASK_UNKNOWN)
         if self.health[agent, service].ended(not failed, self._ctx.now()):
--- a/src/gentianmux/start_records.py
+++ b/src/gentianmux/start_records.py
@@ -28,7 +28,7 @@
         self.epoch = epoch
         self.attempt = task.attempt
         self.state = TaskState.QUEUED
-        self.state_since = now
+        self.since = now
         self.result: TaskResult | None = None
 
 
@@ -62,7 +62,7 @@
         self.seen_ms = now_ms
         self.tasks: dict[int, TaskRecord] = {}
         self.unsent: list[TaskResult] = []
-        self.open_count = 0
+        self.open = 0
 
 
 class Offer(NamedTuple):
@@ -88,10 +88,10 @@
     --------
     >>> records = StartRecords(keep_ms=60_000)
     >>> batch = StartBatch("m/a", 0, 5, "m", "s", -1, -1, False, 0, 0, [Task(0, 0, "", 0)])
-    >>> accept_batch = records.accept_batch(batch, "w1.1", now=0.0, now_ms=0)
-    >>> records.begin(accept_batch.job, accept_batch.queued[0], 0.0)
+    >>> offer = records.offer(batch, "w1.1", now=0.0, now_ms=0)
+    >>> records.begin(offer.job, offer.queued[0], 0.0)
     True
-    >>> records.accept_batch(batch, "w1.1", now=0.0, now_ms=0).queued
+    >>> records.offer(batch, "w1.1", now=0.0, now_ms=0).queued
     []
     """
 
@@ -101,7 +101,7 @@
         self.jobs: dict[str, JobRecord] = {}
         self.fences: dict[int, int] = {}
 
-    def accept_batch(self, batch: StartBatch, coordinator: str, now: float, now_ms: int) -> Offer:
+    def offer(self, batch: StartBatch, coordinator: str, now: float, now_ms: int) -> Offer:
         """Take in a batch; results of tasks that have ended are put among the unsent ones."""
         if batch.epoch < self.fences.get(batch.shard, -1):
             refused = [_not_run(task, ResultCode.STALE_EPOCH) for task in batch.tasks]
@@ -124,7 +124,7 @@
         if record is None or _may_try_again(record, job.epoch, task.attempt):
             record = TaskRecord(task, job.epoch, now)
             job.tasks[task.number] = record
-            job.open_count += 1
+            job.open += 1
             yield record
         elif record.result is not None:
             job.unsent.append(record.result)
@@ -134,7 +134,7 @@
         if record.state is not TaskState.QUEUED:
             return False
         record.state = TaskState.STARTED
-        record.state_since = now
+        record.since = now
         return True
 
     def finish(self, job: JobRecord, record: TaskRecord, result: TaskResult) -> None:
@@ -142,7 +142,7 @@
         record.state = TaskState.DONE
         record.result = result
         job.unsent.append(result)
-        job.open_count -= 1
+        job.open -= 1
 
     def refuse(self, job: JobRecord, record: TaskRecord, code: ResultCode) -> bool:
         """Decide that a queued task does not start; false when it has started already."""
@@ -151,7 +151,7 @@
         record.state = TaskState.REFUSED
         record.result = _not_run(record.task, code)
         job.unsent.append(record.result)
-        job.open_count -= 1
+        job.open -= 1
         return True
 
     def revoke(self, key: str) -> list[TaskRecord]:
@@ -171,7 +171,7 @@
         touched = [
             job
             for job in self.jobs.values()
-            if job.shard == shard and job.epoch < epoch and job.open_count
+            if job.shard == shard and job.epoch < epoch and job.open
         ]
         for job in touched:
             for record in job.tasks.values():
@@ -208,7 +208,7 @@
     def trim(self, now_ms: int) -> None:
         """Forget jobs that ended before the window, and remember that something is forgotten."""
         limit = now_ms - self._keep_ms
-        old = [key for key, job in self.jobs.items() if not job.open_count and job.seen_ms < limit]
+        old = [key for key, job in self.jobs.items() if not job.open and job.seen_ms < limit]
         for key in old:
             self.forgotten_ms = max(self.forgotten_ms, self.jobs[key].seen_ms + 1)
             del self.jobs[key]
--- a/src/gentianmux/trace_collector.py
+++ b/src/gentianmux/trace_collector.py
@@ -55,7 +55,7 @@
             parked.append(_Parked(msg, waiter))
             return
         if len(self._waiting) >= MAX_PARKED:
-            self._ctx.coordinator.apply_ruling(
+            self._ctx.coordinator.apply_admission(
                 AdmissionResult(AdmissionDecision.REFUSE, ResultCode.TRACES_PENDING), msg, waiter
             )
             return
@@ -118,11 +118,11 @@
             refusal = ResultCode.OUTCOME_UNKNOWN
         if refusal is not None:
             ruling = AdmissionResult(AdmissionDecision.REFUSE, refusal)
-            ctx.coordinator.apply_ruling(ruling, parked.msg, parked.waiter)
+            ctx.coordinator.apply_admission(ruling, parked.msg, parked.waiter)
         elif traces:
-            ctx.coordinator.resume(parked.msg, parked.waiter, traces, whole)
+            ctx.coordinator.resume_job(parked.msg, parked.waiter, traces, whole)
         else:
-            ctx.coordinator.apply_ruling(
+            ctx.coordinator.apply_admission(
                 AdmissionResult(AdmissionDecision.ADMIT), parked.msg, parked.waiter
             )
 
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -21,7 +21,7 @@
         return int(sock.getsockname()[1])
 
 
-def start_node(**changes: Any) -> Standalone:
+def start_standalone(**changes: Any) -> Standalone:
     ports = [f"127.0.0.1:{free_port()}" for _ in range(4)]
     cfg = Settings(
         peer_address=ports[0],
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -11,7 +11,7 @@
 import pytest
 
 from bench.leased_speed import cost_of_a_job
-from gentianmux.leased.admission import urgency
+from gentianmux.leased.admission_policy import urgency
 from gentianmux.leased.backlog import Backlog
 from gentianmux.leased.candidates import Candidates
 from gentianmux.leased.fleet_view import AgentView, FleetView, PlacementRequest
@@ -90,7 +90,7 @@
         agent.state = EndpointState(f"x{number}", "s", "fd", 16000, 9999, 0, ["a", "b"], True)
         cpu, slow = rng.randrange(0, 16000), rng.choice([80, 100, 150])
         longest_ms = rng.choice([50, 9000])
-        agent.take_load(AgentLoad(1, 0, cpu, 9999, 0, slow, 1, 1, longest_ms), 1.0)
+        agent.apply_report(AgentLoad(1, 0, cpu, 9999, 0, slow, 1, 1, longest_ms), 1.0)
     return view
 
 
@@ -121,13 +121,13 @@
 
 def test_room_is_counted_once_reserved_and_again_once_reported() -> None:
     agent = AgentView("w0.1")
-    agent.take_load(AgentLoad(1, 0, 8000, 100, 0, 100, 1, 1, 9000), 1.0)
+    agent.apply_report(AgentLoad(1, 0, 8000, 100, 0, 100, 1, 1, 9000), 1.0)
     agent.reserve(1, Resources(3000, 10))
     agent.reserve(2, Resources(1000, 10))
     assert agent.free == Resources(4000, 80)
-    agent.take_load(AgentLoad(2, 1, 5000, 90, 0, 100, 1, 1, 9000), 1.1)
+    agent.apply_report(AgentLoad(2, 1, 5000, 90, 0, 100, 1, 1, 9000), 1.1)
     assert agent.free == Resources(4000, 80)
-    agent.take_load(AgentLoad(3, 2, 4000, 80, 0, 100, 1, 1, 9000), 1.2)
+    agent.apply_report(AgentLoad(3, 2, 4000, 80, 0, 100, 1, 1, 9000), 1.2)
     assert agent.free == Resources(4000, 80)
 
 
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -19,8 +19,8 @@
 import gevent
 import pytest
 from platform_deployment import Deployment, job_body, served
-from test_leased_parts import fleet
-from test_leased_world import _disturb, assert_kept, outcome, ready_world
+from test_leased_units import fleet
+from test_leased_world import _inject_fault, assert_invariants_hold, outcome, ready_world
 from test_platform_adapter import REPORT, SPEC
 
 from bench.leased_endpoint import Work
@@ -41,7 +41,7 @@
     StartResult,
     StepSpec,
 )
-from gentianmux.leased.payloads import pack
+from gentianmux.leased.payloads import encode_payload
 from gentianmux.leased.resources import Resources
 from gentianmux.leased.run_table import RunTable
 from gentianmux.messages import Assign, LeasedTask
@@ -75,7 +75,7 @@
         world.submit("e0", tasks=2, run_s=0.2)
     world.run(0.1)
     assert endpoint.active == {}
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 # At 1.0 s its heartbeat is the first that the agent hears of it, at 1.2 s its answer to a look.
@@ -90,7 +90,7 @@
     world.run(2.0)
     assert {outcome(job) for job in before + jobs} == {JobOutcome.COMPLETED}
     assert world.starts == 30
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_an_agent_follows_its_endpoint_through_a_start(deployment: Deployment) -> None:
@@ -289,7 +289,7 @@
     world.run(1.0)
     assert outcome(job) is JobOutcome.COMPLETED
     assert world.starts == 6
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_a_start_that_reached_a_later_life_outlives_the_farewell_of_the_earlier_one() -> None:
@@ -308,7 +308,7 @@
     agent.on_shutdown_notice(earlier.name, earlier.born)
     world.run(3.0)
     assert outcome(job) is JobOutcome.COMPLETED
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_the_farewell_of_the_present_life_is_believed() -> None:
@@ -328,7 +328,7 @@
     task = LeasedTask("00000000000000aa.0.0.0", 1, 0, 1600, 64, 0, 200)
     world.works[task.name] = (StepSpec(1, Resources(1600, 64), 200), Work(0.2))
     echo = world.entries["e0"].view.get_or_add("w0.1").newest_load  # type: ignore[union-attr]
-    agent.on_message(Assign(echo, 1, [task], [], [pack("x")]), "e0.1")
+    agent.on_message(Assign(echo, 1, [task], [], [encode_payload("x")]), "e0.1")
     assert (task.name, 1) in agent.table.runs
     endpoint.born += 1
     agent.tracker.started_again(endpoint.born)
@@ -348,7 +348,7 @@
     world.restart_endpoint("w0", down_s)
     world.run(6.0)
     assert {outcome(job) for job in jobs} == {JobOutcome.COMPLETED}
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 @pytest.mark.parametrize("seed", [*range(24), 38, 77, 88, 93, 160, 278, 301, 334, 429, 2005])
@@ -362,7 +362,7 @@
             world.submit(entry, tasks=rng.randrange(1, 9), run_s=rng.choice([0.06, 0.2, 0.9]))
         world.run(rng.uniform(0.01, 0.3))
     world.run(9.0)
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def _disturb_endpoints(world: World, rng: Random) -> None:
@@ -381,7 +381,7 @@
         )
         world.replace_endpoint(machine.name)
     else:
-        _disturb(world, rng)
+        _inject_fault(world, rng)
 
 
 def _arrive_late(
@@ -624,4 +624,4 @@
     job = world.submit("e0", tasks=4, run_s=0.2)
     world.run(0.5)
     assert outcome(job) is JobOutcome.COMPLETED
-    assert_kept(world)
+    assert_invariants_hold(world)
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -158,9 +158,9 @@
     view = world.entries["e0"].view
     assert view is not None
     expected = view.capacity_cpu("s", world.time)
-    view.expect("w100", "s", "fd1", 16000, world.time)
+    view.expect_agent("w100", "s", "fd1", 16000, world.time)
     assert view.capacity_cpu("s", world.time) == expected
-    view.expect("w101", "s", "fd2", 16000, world.time)
+    view.expect_agent("w101", "s", "fd2", 16000, world.time)
     assert view.capacity_cpu("s", world.time) == expected + 16.0
 
 
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -8,7 +8,7 @@
 from bench.leased_load import play
 from bench.processes import ROOT
 from bench.scenario import USUAL, read_experiment
-from gentianmux.leased import admission
+from gentianmux.leased import admission_policy
 
 SCENARIOS = sorted((ROOT / "bench" / "scenarios").glob("*.toml"))
 BRIEF = USUAL._replace(seconds=1.0, burst=(0.2, 0.8))
@@ -27,17 +27,19 @@
 
 
 def test_a_policy_holds_for_its_run_alone() -> None:
-    before = admission.OVERTAKING
+    before = admission_policy.OVERTAKING
     plain = play(3.0, 1, BRIEF)
-    changed = play_run(Run("once", {"admission.OVERTAKING": 0.01}, 3.0, 1, BRIEF))
+    changed = play_run(Run("once", {"admission_policy.WAIT_FACTOR": 0.01}, 3.0, 1, BRIEF))
     assert changed.refused < plain.refused
-    assert before == admission.OVERTAKING
+    assert before == admission_policy.OVERTAKING
     assert play(3.0, 1, BRIEF) == plain
 
 
 def test_the_table_has_a_row_for_each_policy_and_load(tmp_path: Path) -> None:
     path = tmp_path / "x.toml"
-    path.write_text('loads = [1.0, 2.0]\nseeds = 2\n[policies.one]\n"admission.OVERTAKING" = 1.0\n')
+    path.write_text(
+        'loads = [1.0, 2.0]\nseeds = 2\n[policies.one]\n"admission_policy.WAIT_FACTOR" = 1.0\n'
+    )
     experiment = read_experiment(path)
     results = [play(run.load, run.seed, BRIEF) for run in runs(experiment)]
     found = list(rows(experiment, results))
--- a/tests/test_late_orders.py
+++ b/tests/test_late_assignments.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 
 import pytest
-from test_leased_world import assert_kept, outcome, ready_world
+from test_leased_world import assert_invariants_hold, outcome, ready_world
 
 from bench.leased_world import Asked, World
 from gentianmux.leased.job_state import JobOutcome
@@ -61,7 +61,7 @@
         arrive()
         world.run(2.0)
         assert outcome(job) is JobOutcome.COMPLETED
-        assert_kept(world)
+        assert_invariants_hold(world)
 
 
 def test_an_order_that_was_lost_with_its_connection_is_made_up_for_at_once() -> None:
@@ -71,4 +71,4 @@
     world.run(0.5)
     assert outcome(job) is JobOutcome.COMPLETED
     assert job.ended_at - job.at < 0.42
-    assert_kept(world)
+    assert_invariants_hold(world)
--- a/tests/test_leased_parts.py
+++ b/tests/test_leased_units.py
@@ -7,12 +7,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gentianmux.leased.admission import (
+from gentianmux.leased.admission_policy import (
     DECIDE_SHARE,
-    LEAST_SEEN_S,
+    MIN_OBSERVATION_S,
     MISTAKE_PAUSE_S,
-    OVERTAKING,
-    Admission,
+    WAIT_FACTOR,
+    AdmissionPolicy,
     Arrivals,
     Decision,
     Load,
@@ -24,7 +24,7 @@
 from gentianmux.leased.fleet_view import LOOKED_AT, FleetView, PlacementRequest
 from gentianmux.leased.job_state import JobState, Phase, Timeliness
 from gentianmux.leased.model import JobSpec, QueueConfig, RunOutcome, StepSpec
-from gentianmux.leased.progress import STALL_S, Progress
+from gentianmux.leased.progress import STALL_S, RunProgress
 from gentianmux.leased.resources import ResourcePool, Resources
 from gentianmux.leased.settings import LeasedSettings, lease_s
 from gentianmux.messages import AgentLoad, EndpointState
@@ -101,12 +101,12 @@
 
 
 def test_a_run_stalls_only_when_its_progress_stands_still() -> None:
-    progress = Progress(0.0)
+    progress = RunProgress(0.0)
     for step in range(1, 20):
-        progress = progress.seen(step, step * 0.1)
+        progress = progress.updated(step, step * 0.1)
         assert not progress.is_stalled(step * 0.1 + 0.1)
     assert progress.is_stalled(1.9 + STALL_S + 0.01)
-    assert progress.heading_for_ms(1.9) == pytest.approx(10_000, rel=0.01)
+    assert progress.projected_ms(1.9) == pytest.approx(10_000, rel=0.01)
 
 
 # The fleet
@@ -118,7 +118,7 @@
         agent = view.get_or_add(f"{name}.1")
         agent.state = EndpointState(f"{name}-x", "s", "fd1", 16000, 999, 0, ["a"], True)
         load = AgentLoad(1, 0, cpu, 999, 0, (slowness or {}).get(name, 100), 1, 1, 9000)
-        agent.take_load(load, now)
+        agent.apply_report(load, now)
     return view
 
 
@@ -139,7 +139,7 @@
     agent = view.get_or_add("a.1")
     agent.reserve(1, Resources(1600, 64))
     assert view.choose(PlacementRequest("s", Resources(1600, 64)), view.eligible("s", 1.0)) is None
-    agent.take_load(AgentLoad(2, 1, 3000, 999, 0, 100, 1, 1, 9000), 1.1)
+    agent.apply_report(AgentLoad(2, 1, 3000, 999, 0, 100, 1, 1, 9000), 1.1)
     assert view.choose(PlacementRequest("s", Resources(1600, 64)), view.eligible("s", 1.1)) is agent
 
 
@@ -191,7 +191,7 @@
 def test_jobs_are_decided_once_in_time_late_or_refused() -> None:
     due = DECIDE_SHARE * job().objective_s
     jobs = [job(number) for number in range(40)]
-    admission = Admission()
+    admission = AdmissionPolicy()
     assert admission.decide(jobs, 12.0, due - 0.01) == ([], [], [], [])
     decision = admission.decide(jobs, 12.0, due + 0.01)
     assert len(decision.kept) + len(decision.late) + len(decision.refused) == 40
@@ -208,14 +208,16 @@
 def test_a_job_is_late_when_it_can_still_be_of_use_and_refused_when_not() -> None:
     ahead = job(1, tasks=10, estimate_ms=500)
     ahead.began = True
-    ahead_s = OVERTAKING * ahead.work_cpu_s / 40.0
+    ahead_s = WAIT_FACTOR * ahead.work_cpu_s / 40.0
     candidate = job(2)
     now = DECIDE_SHARE * candidate.objective_s
     spare_s = candidate.last_useful_start - now - ahead_s
     assert candidate.latest_start < now + ahead_s < candidate.last_useful_start
-    assert Admission().decide([ahead, candidate], 40.0, now).late == [candidate]
-    assert Admission().decide([ahead, candidate], 40.0, now + spare_s - 0.01).late == [candidate]
-    (refusal,) = Admission().decide([ahead, candidate], 40.0, now + spare_s + 0.01).refused
+    assert AdmissionPolicy().decide([ahead, candidate], 40.0, now).late == [candidate]
+    assert AdmissionPolicy().decide([ahead, candidate], 40.0, now + spare_s - 0.01).late == [
+        candidate
+    ]
+    (refusal,) = AdmissionPolicy().decide([ahead, candidate], 40.0, now + spare_s + 0.01).refused
     assert refusal.job is candidate
     assert [retry_after_s(Load(work, 40.0)) for work in (1.0, 12.0, 900.0)] == [1, 2, 5]
 
@@ -225,7 +227,7 @@
     ahead.began = True
     now = candidate.arrived + DECIDE_SHARE * candidate.objective_s + 0.001
     for cores, expected in ((0.0, "late"), (28.0, "late"), (34.0, "refused"), (60.0, "refused")):
-        admission = Admission()
+        admission = AdmissionPolicy()
         for tenth in range(20):
             coming = job(3, tasks=1, estimate_ms=int(cores / 1.6 * 100), arrived=tenth / 10)
             admission.arrived(coming, now - 1.95 + tenth / 10)
@@ -237,21 +239,21 @@
     arrivals = Arrivals()
     for _ in range(100):
         arrivals.add(10.0, 5.0)
-    assert arrivals.rate(5.0 + LEAST_SEEN_S - 0.01) is None
-    assert arrivals.rate(5.0 + LEAST_SEEN_S) == 0.0
+    assert arrivals.rate(5.0 + MIN_OBSERVATION_S - 0.01) is None
+    assert arrivals.rate(5.0 + MIN_OBSERVATION_S) == 0.0
 
 
 def test_what_is_kept_is_given_up_once_its_answer_can_be_of_no_use() -> None:
     kept = job(1)
     kept.timeliness = Timeliness.TIMELY
-    assert Admission().decide([kept], 4.0, kept.last_useful_start - 0.01) == ([], [], [], [])
-    assert Admission().decide([kept], 4.0, kept.last_useful_start + 0.01).given_up == [kept]
+    assert AdmissionPolicy().decide([kept], 4.0, kept.last_useful_start - 0.01) == ([], [], [], [])
+    assert AdmissionPolicy().decide([kept], 4.0, kept.last_useful_start + 0.01).given_up == [kept]
     kept.began = True
-    assert Admission().decide([kept], 4.0, kept.last_useful_start + 0.01).given_up == []
+    assert AdmissionPolicy().decide([kept], 4.0, kept.last_useful_start + 0.01).given_up == []
 
 
 def test_after_a_job_was_kept_in_vain_none_is_kept_to_be_late_for_a_while() -> None:
-    admission = Admission()
+    admission = AdmissionPolicy()
     mistaken = job(1)
     mistaken.timeliness = Timeliness.LATE
     at = mistaken.last_useful_start + 0.01
@@ -268,7 +270,7 @@
 
 
 def test_late_work_that_delays_timely_jobs_stops_more_of_it() -> None:
-    admission = Admission()
+    admission = AdmissionPolicy()
     late, timely = job(1), job(2)
     late.timeliness = Timeliness.LATE
     now = timely.latest_start + 0.01
@@ -319,15 +321,15 @@
 def test_announced_agents_count_as_capacity_until_they_are_heard_of_or_long_overdue() -> None:
     view = FleetView(0.55, Random(1))
     for node in ("w1", "w2"):
-        view.expect(node, "s", "fd1", 16000, 10.0)
-    view.expect("w3", "other", "fd1", 16000, 10.0)
+        view.expect_agent(node, "s", "fd1", 16000, 10.0)
+    view.expect_agent("w3", "other", "fd1", 16000, 10.0)
     assert view.capacity_cpu("s", 10.1) == 32.0
     agent = view.get_or_add("w1.5")
     agent.state = EndpointState("x", "s", "fd", 16000, 1000, 0, [], True)
-    agent.take_load(AgentLoad(1, 0, 100, 10, 0, 100, 1, 1, 9000), 10.2)
+    agent.apply_report(AgentLoad(1, 0, 100, 10, 0, 100, 1, 1, 9000), 10.2)
     assert view.capacity_cpu("s", 10.3) == 32.0
     assert view.capacity_cpu("other", 10.3) == 16.0
-    agent.take_load(AgentLoad(2, 0, 100, 10, 0, 100, 1, 1, 9000), 12.0)
+    agent.apply_report(AgentLoad(2, 0, 100, 10, 0, 100, 1, 1, 9000), 12.0)
     assert view.capacity_cpu("s", 12.1) == 16.0
 
 
@@ -335,7 +337,7 @@
     view = FleetView(0.55, Random(1))
     agent = view.get_or_add("w1.5")
     agent.state = EndpointState("x", "s", "fd", 16000, 1000, 0, [], True)
-    agent.take_load(AgentLoad(1, 0, 16000, 1000, 0, 100, 1, 1, 400), 10.0)
+    agent.apply_report(AgentLoad(1, 0, 16000, 1000, 0, 100, 1, 1, 400), 10.0)
     request = PlacementRequest("s", Resources(1600, 64), estimate_ms=400)
     assert view.choose(request, view.eligible("s", 10.0)) is agent
     assert view.choose(request._replace(estimate_ms=401), view.eligible("s", 10.0)) is None
@@ -344,9 +346,9 @@
 def test_jobs_that_fit_endpoints_about_to_connect_are_kept() -> None:
     due = DECIDE_SHARE * job().objective_s + 0.01
     jobs = [job(number) for number in range(40)]
-    alone = Admission().decide(jobs, 4.0, due)
-    coming = Admission().decide(jobs, 4.0, due, coming_cpu=20.5 * jobs[0].cpu)
+    alone = AdmissionPolicy().decide(jobs, 4.0, due)
+    coming = AdmissionPolicy().decide(jobs, 4.0, due, coming_cpu=20.5 * jobs[0].cpu)
     assert len(alone.kept) < 10
     assert coming.kept[:20] == jobs[:20]
-    all_coming = Admission().decide(jobs, 4.0, due, coming_cpu=40.5 * jobs[0].cpu)
+    all_coming = AdmissionPolicy().decide(jobs, 4.0, due, coming_cpu=40.5 * jobs[0].cpu)
     assert (all_coming.late, all_coming.refused) == ([], [])
--- a/tests/test_leased_world.py
+++ b/tests/test_leased_world.py
@@ -8,7 +8,7 @@
 from bench.leased_world import ENDPOINT_ROOM, QUEUE, Asked, World
 from gentianmux.leased.job_state import JobOutcome
 from gentianmux.leased.model import EndpointReport, EndRecord, HoldReply, RunOutcome
-from gentianmux.leased.payloads import pack
+from gentianmux.leased.payloads import encode_payload
 from gentianmux.leased.resources import Resources
 from gentianmux.messages import Assign, EndedRuns, LeasedTask, Message, RunRef, Withdraw
 
@@ -32,7 +32,7 @@
     raise AssertionError(f"{task} runs nowhere")
 
 
-def assert_kept(world: World) -> None:
+def assert_invariants_hold(world: World) -> None:
     assert world.breaches == []
     assert world.false_refusals() == []
 
@@ -53,7 +53,7 @@
     world.run(1.0)
     assert outcome(good) is JobOutcome.COMPLETED
     assert outcome(bad) is JobOutcome.FAILED
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_no_endpoint_gets_more_than_it_has_room_for() -> None:
@@ -61,7 +61,7 @@
     for number in range(60):
         world.submit(f"e{number % 3}", tasks=3, run_s=0.3)
     world.run(6.0)
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_a_job_that_cannot_be_in_time_is_refused_early_with_a_time_to_come_back() -> None:
@@ -73,7 +73,7 @@
     assert all(job.handle.result.retry_after_s > 0 for job in refused if job.handle.result)
     quarter_s = jobs[0].handle.job.objective_s / 4
     assert max(job.ended_at - job.at for job in refused) < quarter_s
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 @pytest.mark.parametrize("late", [False, True])
@@ -85,7 +85,7 @@
     jobs = [world.submit("e0", tasks=4, run_s=0.4) for _ in range(4)]
     world.run(6.0)
     assert [outcome(job) for job in jobs] == [JobOutcome.COMPLETED] * 4
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_a_killed_agent_loses_no_job_and_runs_none_twice() -> None:
@@ -98,7 +98,7 @@
     world.start_agent(name)
     world.run(4.0)
     assert outcome(job) is JobOutcome.COMPLETED
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_a_dark_machine_is_given_up_only_when_its_leases_are_over() -> None:
@@ -110,7 +110,7 @@
         world.cut_apart(name, entry, 10.0)
     world.run(4.5)
     assert outcome(job) is JobOutcome.COMPLETED
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 @pytest.mark.parametrize("seconds", [0.3, 0.6, 1.0, 2.5])
@@ -123,7 +123,7 @@
     later = [world.submit("e0", tasks=4, run_s=0.7) for _ in range(3)]
     world.run(6.0)
     assert all(outcome(job) is not None for job in jobs + later)
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_a_killed_entry_leaves_nothing_running_when_its_callers_send_again() -> None:
@@ -135,7 +135,7 @@
     again = world.submit("e1", tasks=6, run_s=2.5, job_id=job.spec.job_id)
     world.run(4.5)
     assert outcome(again) is JobOutcome.COMPLETED
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_a_frozen_entry_wakes_to_a_job_that_runs_elsewhere_and_does_not_run_it_again() -> None:
@@ -146,7 +146,7 @@
     world.run(3.6)
     world.submit("e1", tasks=6, run_s=1.0, job_id=job.spec.job_id)
     world.run(4.0)
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_an_entry_cut_from_an_agent_and_back_keeps_what_runs_there() -> None:
@@ -158,7 +158,7 @@
     world.run(1.5)
     assert outcome(job) is JobOutcome.COMPLETED
     assert world.starts == 3
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_an_endpoint_that_fails_everything_gets_little_work() -> None:
@@ -172,7 +172,7 @@
     completed = sum(outcome(job) is JobOutcome.COMPLETED for job in jobs)
     assert completed >= 97
     assert world.wasted_runs < 25
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_runs_that_stand_still_are_moved_and_their_endpoint_is_left_out() -> None:
@@ -187,7 +187,7 @@
     assert world.wasted_runs <= 5
     assert world.machines["w0"].agent is not None
     assert world.machines["w0"].agent.health.ejections >= 1
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_a_draining_endpoint_gets_nothing_new() -> None:
@@ -212,7 +212,7 @@
     jobs = [world.submit("e0", tasks=4, run_s=0.2) for _ in range(3)]
     world.run(5.0)
     assert all(outcome(job) is not None for job in jobs)
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_a_restarted_agent_stops_what_it_finds_before_it_starts_anything() -> None:
@@ -224,7 +224,7 @@
     job = world.submit("e0", tasks=10, run_s=0.2, time_limit_s=9.0)
     world.run(8.0)
     assert outcome(job) is not None
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 @pytest.mark.parametrize("seed", [*range(30), 343])
@@ -232,7 +232,7 @@
     world = ready_world(agents=5, entries=3, seed=seed)
     rng = Random(seed)
     for _ in range(60):
-        _disturb(world, rng)
+        _inject_fault(world, rng)
         for _ in range(rng.randrange(4)):
             entry = rng.choice(sorted(world.entries))
             world.submit(
@@ -243,7 +243,7 @@
             )
         world.run(rng.uniform(0.01, 0.3))
     world.run(9.0)
-    assert_kept(world)
+    assert_invariants_hold(world)
     assert all(outcome(job) is not None for job in world.asked if _entry_lives(world, job))
 
 
@@ -252,7 +252,7 @@
     return any(job.handle in each for each in handles)  # type: ignore[attr-defined]
 
 
-def _disturb(world: World, rng: Random) -> None:
+def _inject_fault(world: World, rng: Random) -> None:
     machine = world.machines[rng.choice(sorted(world.machines))]
     entry = rng.choice(sorted(world.entries))
     endpoint = machine.endpoint
@@ -345,7 +345,7 @@
     assert all(outcome(job) is JobOutcome.COMPLETED for job in jobs)
     assert world.wasted_runs == 0
     assert sorted(job.ended_at - job.at for job in jobs)[-4] < 0.8
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_an_endpoint_that_answers_nothing_is_given_up_when_its_leases_are_over() -> None:
@@ -356,7 +356,7 @@
     world.machines[name].endpoint.lose_looks = 1.0
     world.run(4.6)
     assert outcome(job) is JobOutcome.COMPLETED
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_a_leaving_entry_takes_only_what_can_end_in_time() -> None:
@@ -365,10 +365,10 @@
     assert entry is not None
     short = world.submit("e0", run_s=0.5).spec
     long = world.submit("e0", run_s=4.0).spec
-    assert entry.takes(long)
+    assert entry.accepts(long)
     entry._shutdown_at = world.time + 2.0
-    assert entry.takes(short)
-    assert not entry.takes(long)
+    assert entry.accepts(short)
+    assert not entry.accepts(long)
 
 
 def test_agents_that_refuse_for_a_moment_are_not_taken_for_none() -> None:
@@ -401,7 +401,7 @@
     job = world.submit("e0", tasks=4, run_s=0.2)
     world.run(0.3)
     assert outcome(job) is JobOutcome.COMPLETED
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_nothing_is_placed_past_its_deadline() -> None:
@@ -416,8 +416,8 @@
     world.machines["w0"].endpoint.active.clear()
     for view in world.entries["e0"].view.agents.values():  # type: ignore[union-attr]
         view._pending.clear()
-        view.offer(ENDPOINT_ROOM)
-        view.heard_at = world.time
+        view.set_offered(ENDPOINT_ROOM)
+        view.last_heard_at = world.time
     entry._placer.place()
     assert not late.handle.job.began
 
@@ -454,7 +454,7 @@
     assert agent is not None
     task = LeasedTask(f"{first.spec.job_id}.0.0.0", 5, 0, 1600, 64, 0, 3000)
     echo = world.entries["e1"].view.get_or_add(world.process_of("w0")).newest_load  # type: ignore[union-attr]
-    agent.on_message(Assign(echo, 1, [task], [], [pack("x")]), world.process_of("e1"))
+    agent.on_message(Assign(echo, 1, [task], [], [encode_payload("x")]), world.process_of("e1"))
     agent.on_message(Withdraw([RunRef(task.name, 5)]), world.process_of("e1"))
     world.run(1.0)
     assert world.machines["w0"].endpoint.active == {}
@@ -474,7 +474,7 @@
     again = world.submit("e1", tasks=3, run_s=4.0, job_id=job.spec.job_id, time_limit_s=9.0)
     world.run(5.0)
     assert outcome(again) is JobOutcome.COMPLETED
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 @pytest.mark.parametrize("restarted", [False, True])
@@ -495,7 +495,7 @@
     world.run(3.0)
     assert [outcome(job) for job in jobs] == [JobOutcome.COMPLETED] * 3
     assert world.starts == 27
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_connections_that_go_silent_for_good_cost_no_run() -> None:
@@ -507,7 +507,7 @@
     assert [outcome(job) for job in jobs] == [JobOutcome.COMPLETED] * 6
     assert max(job.ended_at - job.at for job in jobs) < 1.4
     assert world.wasted_runs == 0
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_an_entry_that_is_gone_no_longer_counts_when_the_pool_is_shared() -> None:
@@ -536,7 +536,7 @@
     in_time = [job for job in done if job.ended_at - job.at <= job.handle.job.objective_s]
     assert len(in_time) > 0.85 * len(world.asked)
     assert world.wasted_runs == 0
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_an_agent_frozen_before_it_starts_what_it_took_on_starts_nothing_when_it_wakes() -> None:
@@ -552,7 +552,7 @@
     world.freeze(world.process_of(takers[0]), 1.6)
     world.run(4.0)
     assert outcome(job) is JobOutcome.COMPLETED
-    assert_kept(world)
+    assert_invariants_hold(world)
     assert world.starts == 2
 
 
@@ -572,7 +572,7 @@
     world.run(3.0)
     # The last of them are late, since heartbeats come every half second here.
     assert [outcome(job) for job in jobs] == [JobOutcome.COMPLETED] * 12
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_a_configuration_reaches_an_entry_that_the_store_turns_away() -> None:
@@ -607,14 +607,14 @@
     assert not entry.is_drained()
     world.run(0.05)
     last = world.submit("e0", tasks=1, run_s=0.05)
-    assert entry.takes(last.spec)
+    assert entry.accepts(last.spec)
     assert not entry.is_drained()
     world.run(0.1)
     assert outcome(last) is JobOutcome.COMPLETED
     assert not entry.is_drained()
     world.run(0.11)
     assert entry.is_drained()
-    assert not entry.takes(last.spec)
+    assert not entry.accepts(last.spec)
 
 
 @pytest.mark.parametrize("mbits, agents", [(2, 12), (25, 24)])
@@ -640,7 +640,7 @@
     assert [outcome(job) for job in jobs] == [JobOutcome.COMPLETED] * len(jobs)
     assert world.starts == 4 * len(jobs)
     assert {m.agent._ctx.feed.version for m in world.machines.values() if m.agent} == {7}
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_a_peer_that_has_a_configuration_is_never_sent_it() -> None:
@@ -676,7 +676,7 @@
     assert all(outcome(job) is JobOutcome.COMPLETED for job in world.asked)
     assert world.starts == len(world.asked)
     assert _refused(world) == refused_before
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def _refused(world: World) -> int:
--- a/tests/test_malformed_records.py
+++ b/tests/test_malformed_records.py
@@ -6,7 +6,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from test_leased_world import assert_kept, outcome, ready_world
+from test_leased_world import assert_invariants_hold, outcome, ready_world
 from test_platform_adapter import REPORT as HEARTBEAT
 
 from gentianmux.codes import ResultCode
@@ -198,7 +198,7 @@
     job = world.submit("e0", tasks=8, run_s=0.12)
     world.run(0.3)
     assert outcome(job) is JobOutcome.COMPLETED
-    assert_kept(world)
+    assert_invariants_hold(world)
 
 
 def test_topic_of_announcements_is_unchanged() -> None:
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -7,7 +7,7 @@
 
 import gevent
 import pytest
-from nodes import start_node
+from nodes import start_standalone
 
 from gentianmux.api_client import ApiClient, ApiReply
 from gentianmux.codes import ResultCode
@@ -16,7 +16,7 @@
 
 @pytest.fixture(scope="module")
 def node() -> Iterator[Standalone]:
-    node = start_node(body_timeout_ms=400)
+    node = start_standalone(body_timeout_ms=400)
     yield node
     node.stop()
 
--- a/tests/test_send_window.py
+++ b/tests/test_send_window.py
@@ -16,7 +16,7 @@
 from bench.leased_world import World
 from gentianmux.leased import send_window
 from gentianmux.leased.job_state import JobOutcome
-from gentianmux.leased.payloads import LONGEST_BYTES, pack, unpack
+from gentianmux.leased.payloads import LONGEST_BYTES, decode_payload, encode_payload
 from gentianmux.leased.send_window import (
     LEAST_BYTES,
     MOST_BYTES,
@@ -120,14 +120,14 @@
 
 @given(st.text(max_size=3000))
 def test_a_payload_comes_as_it_was_sent(payload: str) -> None:
-    assert unpack(pack(payload)) == payload
+    assert decode_payload(encode_payload(payload)) == payload
 
 
 def test_a_payload_that_cannot_be_read_is_refused() -> None:
-    bomb = pack("a" * (LONGEST_BYTES + 1))
-    for data in (b"", b"\2x", b"\1x", pack("a" * 1000)[:-3], bomb):
+    bomb = encode_payload("a" * (LONGEST_BYTES + 1))
+    for data in (b"", b"\2x", b"\1x", encode_payload("a" * 1000)[:-3], bomb):
         with pytest.raises(ValueError, match="payload"):
-            unpack(data)
+            decode_payload(data)
 
 
 # The whole, on a link that is full
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -109,9 +109,9 @@
 def _fail_everything(world: World, name: str) -> None:
     node = world.node(name)
     assert node is not None
-    executor, ended = node.ctx.executor, node.ctx.executor.on_ended
+    executor, ended = node.ctx.executor, node.ctx.executor.on_task_ended
     failed = TaskOutcome(ResultCode.TASK_FAILED, "")
-    executor.on_ended = lambda job, record, run: ended(job, record, failed)  # type: ignore
+    executor.on_task_ended = lambda job, record, run: ended(job, record, failed)  # type: ignore
 
 
 def _failures(eject: bool, monkeypatch: pytest.MonkeyPatch) -> float:
--- a/tests/test_start_records.py
+++ b/tests/test_start_records.py
@@ -11,7 +11,7 @@
 
 
 def offer(records: StartRecords, msg: StartBatch, sender: str = "w1.1") -> list[int]:
-    return [each.task.number for each in records.accept_batch(msg, sender, 0.0, 0).queued]
+    return [each.task.number for each in records.offer(msg, sender, 0.0, 0).queued]
 
 
 def test_a_repeated_frame_queues_nothing_again() -> None:
@@ -22,7 +22,7 @@
 
 def test_a_started_task_cannot_be_taken_back() -> None:
     records = StartRecords(1000)
-    job, queued, _ = records.accept_batch(batch(), "w1.1", 0.0, 0)
+    job, queued, _ = records.offer(batch(), "w1.1", 0.0, 0)
     assert job is not None
     assert records.begin(job, queued[0], 0.0)
     assert not records.refuse(job, queued[0], ResultCode.CANCELLED)
@@ -31,7 +31,7 @@
 
 def test_a_task_taken_back_does_not_start() -> None:
     records = StartRecords(1000)
-    job, queued, _ = records.accept_batch(batch(), "w1.1", 0.0, 0)
+    job, queued, _ = records.offer(batch(), "w1.1", 0.0, 0)
     assert job is not None
     records.revoke("m/a")
     assert not records.begin(job, queued[0], 0.0)
@@ -49,14 +49,14 @@
 def test_an_older_epoch_is_refused_after_a_fence() -> None:
     records = StartRecords(1000)
     records.fence(1, 9)
-    refused = records.accept_batch(batch(epoch=5), "w1.1", 0.0, 0).refused
+    refused = records.offer(batch(epoch=5), "w1.1", 0.0, 0).refused
     assert [each.code for each in refused] == [ResultCode.STALE_EPOCH]
     assert offer(records, batch(epoch=9)) == [0]
 
 
 def test_a_fence_gives_back_what_older_epochs_have_queued() -> None:
     records = StartRecords(1000)
-    job, queued, _ = records.accept_batch(batch(epoch=5), "w1.1", 0.0, 0)
+    job, queued, _ = records.offer(batch(epoch=5), "w1.1", 0.0, 0)
     assert job is not None
     assert records.fence(1, 9) == [job]
     assert not records.begin(job, queued[0], 0.0)
@@ -65,7 +65,7 @@
 
 def test_traces_name_what_runs_and_what_ended() -> None:
     records = StartRecords(1000)
-    job, queued, _ = records.accept_batch(batch(numbers=(0, 1, 2)), "w1.1", 0.0, 0)
+    job, queued, _ = records.offer(batch(numbers=(0, 1, 2)), "w1.1", 0.0, 0)
     assert job is not None
     for record in queued[:2]:
         records.begin(job, record, 0.0)
@@ -78,7 +78,7 @@
 
 def test_what_is_forgotten_is_admitted_to() -> None:
     records = StartRecords(1000)
-    job, queued, _ = records.accept_batch(batch(), "w1.1", 0.0, now_ms=5_000)
+    job, queued, _ = records.offer(batch(), "w1.1", 0.0, now_ms=5_000)
     assert job is not None
     records.begin(job, queued[0], 0.0)
     records.trim(10_000)
@@ -90,7 +90,7 @@
 
 def test_another_agent_answers_from_handed_over_records() -> None:
     leaving, staying = StartRecords(1000), StartRecords(1000)
-    job, queued, _ = leaving.accept_batch(batch(numbers=(0, 1)), "w1.1", 0.0, 0)
+    job, queued, _ = leaving.offer(batch(numbers=(0, 1)), "w1.1", 0.0, 0)
     assert job is not None
     leaving.begin(job, queued[0], 0.0)
     result = TaskResult(0, 0, 0, "out", 0.0, 1.0)
--- a/tests/test_together.py
+++ b/tests/test_task_colocation.py
@@ -12,7 +12,7 @@
 import pytest
 
 from bench.leased_world import World
-from gentianmux.leased import placing
+from gentianmux.leased import placer
 from gentianmux.leased.job_state import JobOutcome
 from gentianmux.messages import Assign, Message
 
@@ -63,7 +63,7 @@
     fault: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     together = [play(fault, seed) for seed in SEEDS]
-    monkeypatch.setattr(placing, "TOGETHER", 1)
+    monkeypatch.setattr(placer, "COLOCATED_TASKS", 1)
     apart = [play(fault, seed) for seed in SEEDS]
     assert sum(each.in_time for each in together) >= sum(each.in_time for each in apart)
     frames = sum(each.frames for each in together) / sum(each.frames for each in apart)
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -12,7 +12,7 @@
 from gevent.server import StreamServer
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from nodes import free_port, start_node
+from nodes import free_port, start_standalone
 from test_path import job, submit
 
 from gentianmux.api_client import ApiClient
@@ -26,7 +26,7 @@
 
 
 def test_garbage_on_the_peer_port_closes_that_connection_alone() -> None:
-    node = start_node()
+    node = start_standalone()
     ctx = node.node.ctx
     client = ApiClient(f"http://{ctx.cfg.http_address}", "steppe-demo-key")
     ip, _, port = ctx.cfg.peer_address.partition(":")
@@ -44,7 +44,7 @@
 
 
 def test_a_stop_cuts_off_nothing_in_flight() -> None:
-    node = start_node()
+    node = start_standalone()
     client = ApiClient(f"http://{node.node.ctx.cfg.http_address}", "steppe-demo-key")
     content = job("slow", 8)
     for task in content["tasks"]:
@@ -147,7 +147,7 @@
 
 
 def test_peers_and_callers_have_no_nagle_delay() -> None:
-    node = start_node()
+    node = start_standalone()
     client = ApiClient(f"http://{node.node.ctx.cfg.http_address}")
     client.call("GET", "/healthz")
     ours = [
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 import pytest
-from test_leased_world import assert_kept, outcome, ready_world
+from test_leased_world import assert_invariants_hold, outcome, ready_world
 
 from gentianmux.leased.job_state import JobOutcome
 
@@ -61,7 +61,7 @@
     assert node.view is not None
     assert world.process_of("w0") in node.view.agents
     assert [outcome(job) for job in jobs] == [JobOutcome.COMPLETED] * 3
-    assert_kept(world)
+    assert_invariants_hold(world)
     node.lives = -9
     world.kill("e0.1")
     world.start_entry("e0")
@@ -69,4 +69,4 @@
     again = world.submit("e0", tasks=4, run_s=0.2)
     world.run(1.0)
     assert outcome(again) is JobOutcome.COMPLETED
-    assert_kept(world)
+    assert_invariants_hold(world)
