--- a/src/gentianmux/leased/connectors.py
+++ b/src/gentianmux/leased/connectors.py
@@ -44,7 +44,7 @@
 
     Examples
     --------
-    ``connector.update(directory.read())``, then ``connector.step()`` every ``RECONCILE_INTERVAL_S``.
+    ``connector.update(directory.read())`` and then ``connector.step()`` periodically.
     """
 
     def __init__(
@@ -56,23 +56,20 @@
         self._directory = directory
         self._clock = clock
         self._addresses: dict[str, str] = {}
-        self._last_read_at = clock.now()
-        self._read_interval_s = RECONCILE_INTERVAL_S
+        self._read_at = clock.now()
+        self._wait_s = RECONCILE_INTERVAL_S
 
     def step(self) -> None:
         """Reconcile the connections, and read the announcements while there are too few."""
         self.reconcile()
         connected = len(self._links.processes())
         if not connected:
-            self._read_interval_s = RECONCILE_INTERVAL_S
-        if (
-            connected >= ENTRIES_PER_AGENT
-            or self._clock.now() - self._last_read_at < self._read_interval_s
-        ):
+            self._wait_s = RECONCILE_INTERVAL_S
+        if connected >= ENTRIES_PER_AGENT or self._clock.now() - self._read_at < self._wait_s:
             return
         self.update(self._directory.read() or ())
-        self._last_read_at = self._clock.now()
-        self._read_interval_s = min(MAX_READ_INTERVAL_S, self._read_interval_s * 2)
+        self._read_at = self._clock.now()
+        self._wait_s = min(MAX_READ_INTERVAL_S, self._wait_s * 2)
 
     def update(self, announcements: Iterable[Announcement]) -> None:
         """Add or update entries from announcements; those of agents are ignored."""
--- a/src/gentianmux/leased/links.py
+++ b/src/gentianmux/leased/links.py
@@ -52,7 +52,7 @@
     ----------
     cfg : LeasedSettings
         Address to listen at, and the key that authenticates frames.
-    me : Hello
+    identity : Hello
         Introduction that this process sends on every new connection.
     metrics : Metrics
         Counters of frames and bytes.
@@ -78,7 +78,7 @@
     def __init__(
         self,
         cfg: LeasedSettings,
-        me: Hello,
+        identity: Hello,
         metrics: Metrics,
         clock: Clock,
         listeners: Listeners | None = None,
@@ -86,7 +86,7 @@
         self.on_open: Callable[[Hello], None] = lambda hello: None
         self.on_close: Callable[[str], None] = lambda process: None
         self.on_message: Callable[[Message, str], None] = lambda msg, process: None
-        self._me = me
+        self._identity = identity
         self._metrics = metrics
         self._clock = clock
         self._key = cfg.peer_key.encode()
@@ -121,7 +121,7 @@
         delay_s : float
             Time in seconds that the peer is given to connect first.
         """
-        if address not in self._dialers and address != self._me.address:
+        if address not in self._dialers and address != self._identity.address:
             self._dialers[address] = gevent.spawn(self._keep_dialed, address, delay_s)
 
     def stop_dialing(self, address: str) -> None:
@@ -190,13 +190,13 @@
         frames = split_frames(iter_received(sock), self._key)
         try:
             with gevent.Timeout(HELLO_TIMEOUT_S):
-                sock.sendall(pack_frame(encode(self._me), self._key))
+                sock.sendall(pack_frame(encode(self._identity), self._key))
                 hello = _expect_hello(frames)
         except (gevent.Timeout, OSError, FrameError) as exc:
             self._metrics.count("links_refused", label=type(exc).__name__)
             sock.close()
             return
-        if hello.role == self._me.role:
+        if hello.role == self._identity.role:
             # Seeds may name processes of the same role; those exchange no messages.
             self._metrics.count("links_refused", label="same_role")
             sock.close()
--- a/src/gentianmux/leased/process.py
+++ b/src/gentianmux/leased/process.py
@@ -77,8 +77,8 @@
         self.store = store
         self.feed = ConfigFeed(source, store, self.metrics, self.clock)
         process = f"{cfg.name}.{int(time() * 1000)}"
-        self.me = Hello(PROTOCOL_VERSION, process, cfg.role, cfg.peer_address)
-        self.links = Links(cfg, self.me, self.metrics, self.clock, listeners)
+        self.identity = Hello(PROTOCOL_VERSION, process, cfg.role, cfg.peer_address)
+        self.links = Links(cfg, self.identity, self.metrics, self.clock, listeners)
         self.http_cfg = Settings(max_connections=MAX_CONNECTIONS)
         self._listeners = listeners
         self._servers: list[HttpServer] = []
@@ -183,7 +183,7 @@
     from .fleet_view import FleetView
 
     cfg = base.cfg
-    view = FleetView(lease_s(cfg), Random(base.me.process))
+    view = FleetView(lease_s(cfg), Random(base.identity.process))
     entry = Entry(view, base.links, base.feed, base.metrics, base.clock, cfg.link_bytes_s)
     directory = Directory(base.store, base.metrics)
 
--- a/src/gentianmux/platform/callers.py
+++ b/src/gentianmux/platform/callers.py
@@ -224,24 +224,24 @@
         raise GentianmuxError(ResultCode.BAD_FIELD, "after names a step that does not come before")
     # ``anti_affinity`` is the maximum number of the step's tasks on one endpoint.
     return StepSpec(
-        tasks=_whole(row, "count", 1),
-        need=Resources(_whole(row, "cpu"), _whole(row, "mem_mb"), _whole(row, "gpu")),
-        estimate_ms=_whole(row, "estimate_ms"),
+        tasks=_get_int(row, "count", 1),
+        need=Resources(_get_int(row, "cpu"), _get_int(row, "mem_mb"), _get_int(row, "gpu")),
+        estimate_ms=_get_int(row, "estimate_ms"),
         after=tuple(after),
-        requires=_text(row, "requires"),
-        prefers=_text(row, "affinity"),
-        max_per_endpoint=_whole(row, "anti_affinity"),
+        requires=_get_str(row, "requires"),
+        prefers=_get_str(row, "affinity"),
+        max_per_endpoint=_get_int(row, "anti_affinity"),
     )
 
 
-def _whole(row: dict[str, Any], name: str, least: int = 0) -> int:
+def _get_int(row: dict[str, Any], name: str, least: int = 0) -> int:
     value = row.get(name, least)
     if type(value) not in (int, float) or not least <= value < 1e12 or value != int(value):
         raise GentianmuxError(ResultCode.BAD_FIELD, f"{name} is no whole number from {least} on")
     return int(value)
 
 
-def _text(row: dict[str, Any], name: str) -> str:
+def _get_str(row: dict[str, Any], name: str) -> str:
     value = row.get(name, "")
     if not isinstance(value, str):
         raise GentianmuxError(ResultCode.BAD_FIELD, f"{name} is no text")
--- a/src/gentianmux/platform/endpoint.py
+++ b/src/gentianmux/platform/endpoint.py
@@ -23,8 +23,8 @@
 from .http_client import HttpClient, HttpReply
 
 COMMAND_TIMEOUT_S = 0.08
-"""Time allowed for the response to a start or stop. A late response only costs one poll, since the
-runs listed by the endpoint are authoritative."""
+"""Time allowed for the response to a command, or to a poll that does not wait. A late response to a
+command only costs one poll, since the runs listed by the endpoint are authoritative."""
 
 POLL_CONNECTIONS = 2
 """One poll that waits for a run to end, and one that does not wait."""
@@ -72,7 +72,7 @@
         When a field is missing or of another type, or the state is unknown: the sender then uses
         another protocol, and its other fields cannot be trusted either.
     """
-    room = get_object(content, "capacity")
+    amounts = get_object(content, "capacity")
     state = get_str(content, "state")
     if state not in _STATES:
         raise ValueError(f"state {state[:40]!r} is unknown")
@@ -82,7 +82,9 @@
         service=get_str(content, "service"),
         # The platform's term for a failure domain is zone.
         failure_domain=get_str(content, "zone"),
-        capacity=Resources(get_int(room, "cpu"), get_int(room, "mem_mb"), get_int(room, "gpu", 0)),
+        capacity=Resources(
+            get_int(amounts, "cpu"), get_int(amounts, "mem_mb"), get_int(amounts, "gpu", 0)
+        ),
         labels=get_str_list(content, "labels"),
         draining=state == "draining",
         drain_remaining_s=get_number(content, "drain_remaining_ms", 0) / 1000,
@@ -179,7 +181,7 @@
         self, task: str, run: int, payload: str, lease_s: float, asked_at: float
     ) -> StartResult:
         """Start a run under a lease that begins at ``asked_at``, monotonic time."""
-        until_ms = self._until(lease_s, asked_at)
+        until_ms = self._lease_until_ms(lease_s, asked_at)
         content = {"task": task, "run": run, "spec": payload, "until_ms": until_ms}
         try:
             reply = self._call(self._command_client, "/v1/run-start", content, COMMAND_TIMEOUT_S)
@@ -220,7 +222,7 @@
         asked_at = monotonic()
         content: dict[str, Any] = {"acknowledged": acknowledged, "wait_ms": int(wait_s * 1000)}
         if lease_s:
-            content["until_ms"] = self._until(lease_s, asked_at)
+            content["until_ms"] = self._lease_until_ms(lease_s, asked_at)
         reply = self._call(self._poll_client, "/v1/hold", content, timeout_s)
         if reply.status == REPLACED_STATUS:
             raise EndpointGone
@@ -257,7 +259,7 @@
             raise NoAnswer(f"status {reply.status} without clock_ms")
         self._fence = max(int(self._clock_ms), self._lowest_fence)
 
-    def _until(self, lease_s: float, asked_at: float) -> int:
+    def _lease_until_ms(self, lease_s: float, asked_at: float) -> int:
         self._lease_end = max(
             self._lease_end, asked_at + lease_s * CLOCK_DRIFT_RATIO + self._stop_s
         )
@@ -288,10 +290,12 @@
 def _decode_hold_reply(content: dict[str, Any], asked_at: float) -> HoldReply:
     try:
         # The third field of a row is a checkpoint, which no served job uses.
-        active = tuple(ActiveRun(str(r[0]), int(r[1]), float(r[3])) for r in content["active"])
+        active = tuple(
+            ActiveRun(str(row[0]), int(row[1]), float(row[3])) for row in content["active"]
+        )
         ended = tuple(
-            EndRecord(int(r[0]), str(r[1]), int(r[2]), _HOW.get(r[3], RunOutcome.STOPPED))
-            for r in content["ended_runs"]
+            EndRecord(int(row[0]), str(row[1]), int(row[2]), _HOW.get(row[3], RunOutcome.STOPPED))
+            for row in content["ended_runs"]
         )
     except (KeyError, TypeError, ValueError, IndexError) as exc:
         raise NoAnswer(f"malformed answer to a poll: {exc!r}") from exc
--- a/src/gentianmux/platform/main.py
+++ b/src/gentianmux/platform/main.py
@@ -37,7 +37,7 @@
     gevent.config.resolver = "block"
     base = Process(cfg, PlatformStore(cfg.store_address), CONFIG_SOURCE, listeners)
     decision_log = set_up_decision_log(
-        base.me.process, lambda count: base.metrics.count("logs_dropped", count)
+        base.identity.process, lambda count: base.metrics.count("logs_dropped", count)
     )
     stopping, reload = Event(), Event()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/src/gentianmux/platform/settings.py
+++ b/src/gentianmux/platform/settings.py
@@ -37,7 +37,13 @@
 
 
 def decode_settings(role: str, file: dict[str, Any]) -> LeasedSettings:
-    """Decode a parsed settings file; raises ``ValueError`` or ``KeyError`` for bad content."""
+    """Decode a parsed settings file.
+
+    Raises
+    ------
+    ValueError, KeyError, TypeError, IndexError
+        When a value is missing or invalid.
+    """
     ip = str(file["ip"])
     listen = file["listen"]
     bounds = file.get("bounds", {})
--- a/tests/test_leased_links.py
+++ b/tests/test_leased_links.py
@@ -24,8 +24,8 @@
     """Links of a listening process, and the messages that it receives."""
     address = f"127.0.0.1:{free_port()}"
     cfg = LeasedSettings(role, name, "fd", address, "")
-    me = Hello(PROTOCOL_VERSION, f"{name}.1", role, address)
-    links = Links(cfg, me, Metrics(Settings()), Clock())
+    identity = Hello(PROTOCOL_VERSION, f"{name}.1", role, address)
+    links = Links(cfg, identity, Metrics(Settings()), Clock())
     received: list[Message] = []
     links.on_message = lambda msg, process: received.append(msg)
     links.start()
@@ -43,7 +43,7 @@
 
 def test_stalled_connection_is_replaced() -> None:
     with links_of("entry", "e") as (entry, _), links_of("agent", "a") as (agent, received):
-        relay = Relay(entry._me.address)
+        relay = Relay(entry._identity.address)
         agent.dial(relay.address)
         wait_for(lambda: entry.processes() == ["a.1"] and agent.processes() == ["e.1"])
         # Otherwise it reconnects to the relay, whose address differs from the one in the hello.
--- a/tests/test_malformed_records.py
+++ b/tests/test_malformed_records.py
@@ -26,7 +26,7 @@
 REPORT = EndpointReport(
     "i-1", "10.0.0.1:80", "svc", "fd", Resources(1, 2, 0), ("a",), False, 0.0, 7
 )
-DEEP = b"[" * 200_000
+DEEPLY_NESTED = b"[" * 200_000
 
 scalars = st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=5)
 json_values = st.recursive(
@@ -84,7 +84,7 @@
     assert isinstance(report.service, str) and report.service
 
 
-@pytest.mark.parametrize("raw", [DEEP, b"\xff\xfe", b"[]", b"null", b'{"a": NaN}', b""])
+@pytest.mark.parametrize("raw", [DEEPLY_NESTED, b"\xff\xfe", b"[]", b"null", b'{"a": NaN}', b""])
 def test_bytes_without_a_json_object_raise_value_error(raw: bytes) -> None:
     with pytest.raises(ValueError):
         read_object(raw)
@@ -92,13 +92,13 @@
 
 def test_deeply_nested_configuration_is_refused() -> None:
     with pytest.raises(GentianmuxError):
-        decode_config(DEEP)
+        decode_config(DEEPLY_NESTED)
 
 
 @pytest.mark.parametrize(
     "value",
     [
-        DEEP,
+        DEEPLY_NESTED,
         b"\x00\xff",
         b"[]",
         b'{"role": "overseer", "address": "10.0.0.1:7720"}',
@@ -153,7 +153,7 @@
 
 def test_malformed_record_does_not_hide_others() -> None:
     good = Announcement("e2", "entry", "10.0.0.2:7720")
-    store = _Store(("bad", DEEP), ("e2", good.encode()))
+    store = _Store(("bad", DEEPLY_NESTED), ("e2", good.encode()))
     directory = Directory(store, Metrics(Settings(name="e1")))  # type: ignore[arg-type]
     found: list[Announcement] = []
     directory.on_found = found.append
@@ -177,7 +177,7 @@
 def test_feed_ignores_a_malformed_configuration(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    store = _Store((CONFIG_SOURCE.key, DEEP))
+    store = _Store((CONFIG_SOURCE.key, DEEPLY_NESTED))
     feed = ConfigFeed(CONFIG_SOURCE, store, Metrics(Settings(name="e1")), None)  # type: ignore
     feed.follow_once()
     assert feed.version == -1
