--- a/bench/leased_world.py
+++ b/bench/leased_world.py
@@ -210,7 +210,7 @@
         machine.agent, machine.links = agent, links
         self.alive.add(me.process)
         self.every(REPORT_INTERVAL_S, me.process, agent.send_due_reports)
-        self.every(MAINTENANCE_INTERVAL_S, me.process, agent.check_chains)
+        self.every(MAINTENANCE_INTERVAL_S, me.process, agent.check_entry_leases)
         self.every(0.01, me.process, lambda: self._look(agent, driver))
 
     def stop_agent(self, name: str, grace_s: float = 5.3, back_s: float = 0.9) -> None:
--- a/bench/world.py
+++ b/bench/world.py
@@ -12,7 +12,7 @@
 from gentianmux.clock import Clock
 from gentianmux.codes import ResultCode
 from gentianmux.coordinator import Coordinator
-from gentianmux.dispatcher import TRY_AGAIN
+from gentianmux.dispatcher import RETRYABLE_CODES
 from gentianmux.endpoint_client import TaskOutcome
 from gentianmux.errors import LogError
 from gentianmux.executor import Executor
@@ -249,7 +249,7 @@
             return
         msg, began, unsure = pending
         code = ResultCode(answer.code)
-        if code in TRY_AGAIN:
+        if code in RETRYABLE_CODES:
             unsure = unsure or code is ResultCode.STALE_EPOCH
             self._world.at(RETRY_S, "", self._try, msg, began, unsure)
         else:
--- a/src/gentianmux/dispatcher.py
+++ b/src/gentianmux/dispatcher.py
@@ -12,7 +12,7 @@
 RETRY_S = 0.05
 PATIENCE_S = 5.0
 RETRY_AFTER_MS = 500
-TRY_AGAIN = frozenset(
+RETRYABLE_CODES = frozenset(
     {
         ResultCode.NOT_OWNER,
         ResultCode.LEASE_LAPSED,
@@ -89,7 +89,7 @@
         while True:
             left_s = began + wait_s - ctx.now()
             asked = self._ask_once(msg, left_s)
-            if asked.answer is not None and asked.answer.code not in TRY_AGAIN:
+            if asked.answer is not None and asked.answer.code not in RETRYABLE_CODES:
                 return _to_reply(asked.answer)
             if asked.sent and ctx.now() >= began + wait_s:
                 return Reply(ResultCode.ACCEPTED)
--- a/src/gentianmux/http_server.py
+++ b/src/gentianmux/http_server.py
@@ -26,7 +26,7 @@
 
     def read_requestline(self) -> Any:
         # A caller may idle between requests, but not in the middle of one.
-        with gevent.Timeout(self.server.idle_s, False):
+        with gevent.Timeout(self.server.idle_timeout_s, False):
             return super().read_requestline()
         return ""
 
@@ -75,7 +75,7 @@
         tls: bool = False,
         listeners: Listeners | None = None,
     ) -> None:
-        self.idle_s = 300.0
+        self.idle_timeout_s = 300.0
         self.request_timeout_s = cfg.body_timeout_ms / 1000
         self._cfg = cfg
         self._context: SSLContext | None = None
--- a/src/gentianmux/leased/agent.py
+++ b/src/gentianmux/leased/agent.py
@@ -198,7 +198,7 @@
 
     def _keep_up(self) -> None:
         """Check the chains and report, and wait for the next turn: at rest no run depends on it."""
-        self.check_chains()
+        self.check_entry_leases()
         self.send_due_reports()
         gevent.sleep(
             MAINTENANCE_INTERVAL_S
@@ -295,7 +295,7 @@
     def _(self, msg: ConfigPiece, entry: str) -> None:
         self._config_transfer.take(msg, entry)
 
-    def check_chains(self) -> None:
+    def check_entry_leases(self) -> None:
         """Stop the runs of entries that no longer echo, and open connections in place of silent
         ones."""
         now = self._ctx.clock.now()
--- a/src/gentianmux/leased/process.py
+++ b/src/gentianmux/leased/process.py
@@ -206,7 +206,7 @@
     def limit(limits: Any) -> None:
         app.limit(limits)
         callers.request_timeout_s = limits.header_timeout_s
-        callers.idle_s = limits.idle_timeout_s
+        callers.idle_timeout_s = limits.idle_timeout_s
 
     base.feed.on_change = lambda config: limit(config.limits)
     entry.run_loops()
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -27,11 +27,11 @@
 
 
 def test_a_policy_holds_for_its_run_alone() -> None:
-    before = admission_policy.OVERTAKING
+    before = admission_policy.WAIT_FACTOR
     plain = play(3.0, 1, BRIEF)
     changed = play_run(Run("once", {"admission_policy.WAIT_FACTOR": 0.01}, 3.0, 1, BRIEF))
     assert changed.refused < plain.refused
-    assert before == admission_policy.OVERTAKING
+    assert before == admission_policy.WAIT_FACTOR
     assert play(3.0, 1, BRIEF) == plain
 
 
