--- a/src/gentianmux/leased/process.py
+++ b/src/gentianmux/leased/process.py
@@ -174,7 +174,7 @@
     base : Process
         Components of both roles.
     make_app : callable
-        Creates the WSGI application for callers; its ``limit`` sets bounds on their requests.
+        Creates the WSGI application for callers; ``apply_limits`` bounds their requests.
     stopping : Event
         Set when the process has to stop.
     """
@@ -203,12 +203,12 @@
     base.serve(cfg.readiness_address, _readiness_app(entry))
     base.serve(cfg.metrics_address, base.metrics_app)
 
-    def limit(limits: Any) -> None:
-        app.limit(limits)
+    def apply_limits(limits: Any) -> None:
+        app.apply_limits(limits)
         callers.request_timeout_s = limits.header_timeout_s
         callers.idle_timeout_s = limits.idle_timeout_s
 
-    base.feed.on_change = lambda config: limit(config.limits)
+    base.feed.on_change = lambda config: apply_limits(config.limits)
     entry.run_loops()
     for loop in (directory.follow, base.feed.run):
         gevent.spawn(loop)
--- a/src/gentianmux/platform/callers.py
+++ b/src/gentianmux/platform/callers.py
@@ -79,7 +79,7 @@
         self._cfg = cfg
         self._metrics = metrics
 
-    def limit(self, limits: RequestLimits) -> None:
+    def apply_limits(self, limits: RequestLimits) -> None:
         """Apply the configuration's bounds on request bodies."""
         self._cfg = self._cfg._replace(
             max_body_kb=max(1, limits.max_body_bytes // 1024),
