--- a/src/gentianmux/inventory.py
+++ b/src/gentianmux/inventory.py
@@ -1,4 +1,4 @@
-"""Reads inventories exported from an asset register, and rules, into items."""
+"""Parses worker inventories and rule files into configuration items."""
 
 import csv
 import io
@@ -8,20 +8,20 @@
 
 from .config_state import Change, ConfigState
 
-NUMBERS = ("cores", "memory_mb", "accelerators", "slots")
-TEXTS = ("rack", "failure_domain", "region", "owner")
-SECTIONS = {"members": "member", "teams": "team", "services": "service"}
+NUMBER_FIELDS = ("cores", "memory_mb", "accelerators", "slots")
+TEXT_FIELDS = ("rack", "failure_domain", "region", "owner")
+KIND_BY_SECTION = {"members": "member", "teams": "team", "services": "service"}
 
 
 class LineFault(NamedTuple):
-    """A fault of an imported file, by line (0 when it has none)."""
+    """A fault in an imported file; ``line`` is 0 if it belongs to no line."""
 
     line: int
     problem: str
 
 
 class Imported(NamedTuple):
-    """What a file says: items by name, and every fault found."""
+    """The content of a file: items by name, and every fault found."""
 
     items: dict[str, Any]
     faults: list[LineFault]
@@ -33,19 +33,19 @@
 
 
 def read_inventory(text: str, is_json: bool) -> Imported:
-    """Read workers from CSV with a header line, or from a JSON list of objects.
+    """Parse workers from CSV with a header line, or from a JSON list of objects.
 
     Parameters
     ----------
     text : str
-        The file's content.
+        Content of the file.
     is_json : bool
-        Whether it is JSON.
+        Whether ``text`` is JSON rather than CSV.
 
     Returns
     -------
     Imported
-        Items named ``worker/NAME``; with any fault they must not be used.
+        Items named ``worker/NAME``; they must not be used if there are faults.
     """
     try:
         rows = list(_json_rows(text) if is_json else _csv_rows(text))
@@ -87,61 +87,65 @@
     if not row.fields.get("failure_domain"):
         yield "failure_domain is missing"
     for field, value in row.fields.items():
-        if field not in (*NUMBERS, *TEXTS, "name"):
+        if field not in (*NUMBER_FIELDS, *TEXT_FIELDS, "name"):
             yield f"{field or 'a value without a column'} is not a field of a worker"
-        elif field in NUMBERS and not _is_number(value):
+        elif field in NUMBER_FIELDS and not _is_count(value):
             yield f"{field} must be a whole number, not {value!r}"
 
 
-def _is_number(value: Any) -> bool:
+def _is_count(value: Any) -> bool:
     if isinstance(value, int):
         return not isinstance(value, bool) and value >= 0
     return value in (None, "") or (isinstance(value, str) and value.strip().isdigit())
 
 
 def _worker(fields: dict[str, Any]) -> dict[str, Any]:
-    numbers = {name: int(fields[name]) for name in NUMBERS if fields.get(name) not in (None, "")}
-    texts = {name: str(fields[name]) for name in TEXTS if fields.get(name)}
+    numbers = {
+        name: int(fields[name]) for name in NUMBER_FIELDS if fields.get(name) not in (None, "")
+    }
+    texts = {name: str(fields[name]) for name in TEXT_FIELDS if fields.get(name)}
     return {**texts, **numbers}
 
 
 def read_rules(text: str) -> Imported:
-    """Read rules: a JSON object with ``members``, ``teams`` and ``services``."""
+    """Parse rules: a JSON object with ``members``, ``teams`` and ``services``."""
     try:
         content = json.loads(text)
     except ValueError as exc:
         return Imported({}, [LineFault(getattr(exc, "lineno", 0), str(exc))])
     if not isinstance(content, dict):
         return Imported({}, [LineFault(0, "must be a JSON object")])
-    unknown = sorted(content.keys() - SECTIONS.keys())
-    faults = [LineFault(0, f"{name} is not one of {', '.join(SECTIONS)}") for name in unknown]
+    unknown = sorted(content.keys() - KIND_BY_SECTION.keys())
+    faults = [
+        LineFault(0, f"{name} is not one of {', '.join(KIND_BY_SECTION)}") for name in unknown
+    ]
     items = {
-        f"{SECTIONS[section]}/{name}": value
+        f"{KIND_BY_SECTION[section]}/{name}": value
         for section, entries in content.items()
-        if section in SECTIONS and isinstance(entries, dict)
+        if section in KIND_BY_SECTION and isinstance(entries, dict)
         for name, value in entries.items()
     }
     return Imported(items, faults)
 
 
 def diff(state: ConfigState, wanted: dict[str, Any], kinds: Iterable[str]) -> Change:
-    """The change that makes the items of some kinds what is wanted, and touches no other.
+    """Compute the change that brings the items of ``kinds`` to ``wanted``, and leaves the rest.
 
     Parameters
     ----------
     state : ConfigState
-        The configuration as it is.
+        Current configuration.
     wanted : dict
-        The items that shall stand.
+        Desired items by name.
     kinds : iterable of str
-        Kinds that the import speaks for; their other items are removed.
+        Kinds that the import covers; their items that are not in ``wanted`` are removed.
 
     Returns
     -------
     Change
-        Without a change id; empty when nothing differs.
+        Has no change id; empty if nothing differs.
     """
-    spoken_for = tuple(f"{kind}/" for kind in kinds)
+    prefixes = tuple(f"{kind}/" for kind in kinds)
     changed = {key: value for key, value in wanted.items() if state.items.get(key) != value}
-    removed = [key for key in state.items if key.startswith(spoken_for) and key not in wanted]
+    removed = [key for key in state.items if key.startswith(prefixes) and key not in wanted]
     return Change("", state.version, changed, sorted(removed))
--- a/src/gentianmux/losses.py
+++ b/src/gentianmux/losses.py
@@ -1,4 +1,4 @@
-"""Reads decision logs and says which jobs were lost or late, when, and by which decision."""
+"""Reports from decision logs which jobs were lost or late, when, and which decision caused it."""
 
 import json
 from collections import Counter, defaultdict
@@ -8,19 +8,22 @@
 
 from .leased.job_state import USEFUL_OBJECTIVE_FACTOR
 
-NEAR_IDEAL = 1.15
-"""Multiple of its longest run up to which a job was in time whatever its objective says: that rests
-on an estimate which may be 40 % too low, and no queue allows less than its work."""
+IN_TIME_IDEAL_RATIO = 1.15
+"""Response time over longest run up to which a job is in time, whatever its objective.
 
-NO_INPUTS: dict[str, Any] = {}
+An objective derives from an estimate that may be too low, and no queue grants less time than the
+work of a job takes.
+"""
 
-_KEPT_INPUTS = ("ahead_cpu_s", "capacity_cpu", "begins_in_ms", "slack_ms", "useful_ms")
-_DECISIONS = ("refusal decided", "late service decided")
-_WASTED = ("run not begun", "run stopped", "a start was not answered", "start refused")
+EMPTY_INPUTS: dict[str, Any] = {}
+
+_INPUT_FIELDS = ("ahead_cpu_s", "capacity_cpu", "begins_in_ms", "slack_ms", "useful_ms")
+_DECISION_EVENTS = ("refusal decided", "late service decided")
+_WASTED_RUN_EVENTS = ("run not begun", "run stopped", "a start was not answered", "start refused")
 
 
 class Event(NamedTuple):
-    """One line of a decision log."""
+    """One event of a decision log; ``at`` is in seconds since the epoch."""
 
     at: float
     name: str
@@ -28,7 +31,7 @@
 
 
 class JobEnd(NamedTuple):
-    """How a job ended, and the decision that made it so."""
+    """The outcome of a job and its cause, with the inputs of the decision behind it."""
 
     at: float
     queue: str
@@ -40,12 +43,12 @@
 
     @property
     def is_loss(self) -> bool:
-        """Whether its caller got less than an answer in time."""
+        """Whether the caller did not get a result in time."""
         return self.outcome != "in time"
 
 
 class LossRow(TypedDict):
-    """Jobs of one second and queue that were lost alike, with the mean of what decided it."""
+    """Lost or late jobs with the same second, queue, outcome and cause, and their mean inputs."""
 
     second: str
     queue: str
@@ -56,7 +59,7 @@
 
 
 class QueueRow(TypedDict):
-    """Jobs of one queue: how many, how they ended, and response over ideal."""
+    """Jobs of one queue: count, outcomes, and the ratio of response time to longest run."""
 
     queue: str
     jobs: int
@@ -66,7 +69,7 @@
 
 
 class RunRow(TypedDict):
-    """What became of orders to run tasks, each a message."""
+    """Results of the requests to run tasks; each request is one message."""
 
     begun: int
     done: int
@@ -76,7 +79,7 @@
 
 
 class Report(TypedDict):
-    """All that is known of the losses in some logs."""
+    """Losses, queues and runs found in a set of logs."""
 
     queues: list[QueueRow]
     losses: list[LossRow]
@@ -85,14 +88,14 @@
 
 
 class LogReader:
-    """Turns lines into events and counts those that are none.
+    """Parses log lines into events and counts the lines that hold none.
 
-    A collector may have put words of its own before the JSON of a line.
+    Text before the JSON object of a line, such as a log collector's prefix, is skipped.
 
     Examples
     --------
     >>> reader = LogReader()
-    >>> [each.name for each in reader.events(['w1 {"time": "2026-01-01T00:00:00", "event": "x"}'])]
+    >>> [e.name for e in reader.events(['w1 {"time": "2026-01-01T00:00:00", "event": "x"}'])]
     ['x']
     """
 
@@ -100,7 +103,7 @@
         self.unreadable = 0
 
     def events(self, lines: Iterable[str]) -> Iterator[Event]:
-        """Every event of some lines, in their order."""
+        """Yield the events of ``lines`` in order."""
         for line in lines:
             start = line.find("{")
             if start < 0:
@@ -115,72 +118,86 @@
 
 
 def report(lines: Iterable[str]) -> Report:
-    """Read decision logs of any processes, in any order.
+    """Build a report from the decision logs of any processes, in any order.
 
     Parameters
     ----------
     lines : iterable of str
-        Lines of all logs.
+        Lines of all logs together.
 
     Returns
     -------
     Report
-        Empty where the logs hold no job.
+        ``queues`` and ``losses`` are empty if no job ended in the logs.
     """
     reader = LogReader()
-    # Of lines of the same millisecond a job's end is the last.
-    found = sorted(reader.events(lines), key=lambda e: (e.at, e.name == "job ended"))
-    ends = list(job_ends(found))
+    # Timestamps have millisecond resolution: on a tie, a job ends after its other events.
+    log_events = sorted(reader.events(lines), key=lambda e: (e.at, e.name == "job ended"))
+    ends = list(job_ends(log_events))
     return Report(
         queues=list(_queue_rows(ends)),
         losses=list(_loss_rows(end for end in ends if end.is_loss)),
-        runs=_runs(found, sum(end.outcome in ("in time", "late") for end in ends)),
+        runs=_runs(log_events, sum(end.outcome in ("in time", "late") for end in ends)),
         unreadable_lines=reader.unreadable,
     )
 
 
-def job_ends(found: list[Event]) -> Iterator[JobEnd]:
-    """How each job ended; ``found`` holds the events of entries and agents by time."""
-    longest_ms = _longest_runs(found)
-    decided: dict[str, Event] = {}
-    came_back: defaultdict[str, Counter[str]] = defaultdict(Counter)
-    for event in found:
+def job_ends(log_events: list[Event]) -> Iterator[JobEnd]:
+    """Yield how each job ended; ``log_events`` holds the events of entries and agents by time."""
+    longest_ms = _longest_runs(log_events)
+    decisions: dict[str, Event] = {}
+    returned_runs: defaultdict[str, Counter[str]] = defaultdict(Counter)
+    for event in log_events:
         fields = event.fields
-        if event.name in _DECISIONS:
-            decided[fields["job"]] = event
+        if event.name in _DECISION_EVENTS:
+            decisions[fields["job"]] = event
         elif event.name == "run came back":
-            came_back[_job_of(fields)][fields["how"]] += 1
+            returned_runs[_job_id(fields)][fields["how"]] += 1
         elif event.name == "job ended":
             job = fields["job"]
             ideal_ms = longest_ms.get(job, 0.0)
-            yield _end(event, decided.pop(job, None), came_back.pop(job, Counter()), ideal_ms)
+            yield _job_end(
+                event, decisions.pop(job, None), returned_runs.pop(job, Counter()), ideal_ms
+            )
+
 
+def _longest_runs(log_events: Iterable[Event]) -> dict[str, float]:
+    """Longest run of each job in ms.
 
-def _longest_runs(found: Iterable[Event]) -> dict[str, float]:
-    """Longest run of each job in ms; agents' clocks may be ahead of the entry's."""
+    Scans all events beforehand: an agent's clock may be ahead of the entry's, which sorts the end
+    of a run after the end of its job.
+    """
     longest_ms: defaultdict[str, float] = defaultdict(float)
-    for event in found:
+    for event in log_events:
         if event.name == "run ended" and event.fields.get("how") == "done":
-            job = _job_of(event.fields)
+            job = _job_id(event.fields)
             longest_ms[job] = max(longest_ms[job], event.fields["ran_ms"])
     return longest_ms
 
 
-def _job_of(fields: dict[str, Any]) -> str:
+def _job_id(fields: dict[str, Any]) -> str:
     return str(fields["task"]).partition(".")[0]
 
 
-def _end(event: Event, decision: Event | None, came_back: Counter[str], ideal_ms: float) -> JobEnd:
+def _job_end(
+    event: Event, decision: Event | None, returned_runs: Counter[str], ideal_ms: float
+) -> JobEnd:
     fields = event.fields
     outcome = _outcome(fields, ideal_ms)
     inputs = {
         name: decision.fields[name]
-        for name in _KEPT_INPUTS
+        for name in _INPUT_FIELDS
         if decision is not None and name in decision.fields
     }
-    cause = _cause(fields, outcome, decision, came_back)
+    cause = _cause(fields, outcome, decision, returned_runs)
     return JobEnd(
-        event.at, fields["queue"], outcome, cause, fields["took_ms"], ideal_ms, inputs or NO_INPUTS
+        event.at,
+        fields["queue"],
+        outcome,
+        cause,
+        fields["took_ms"],
+        ideal_ms,
+        inputs or EMPTY_INPUTS,
     )
 
 
@@ -188,18 +205,18 @@
     took_ms, objective_ms = fields["took_ms"], fields["objective_ms"]
     if fields["outcome"] != "completed":
         return str(fields["outcome"]).replace("_", " ")
-    if took_ms <= max(objective_ms, NEAR_IDEAL * ideal_ms):
+    if took_ms <= max(objective_ms, IN_TIME_IDEAL_RATIO * ideal_ms):
         return "in time"
     return "late" if took_ms <= USEFUL_OBJECTIVE_FACTOR * objective_ms else "too late"
 
 
 def _cause(
-    fields: dict[str, Any], outcome: str, decision: Event | None, came_back: Counter[str]
+    fields: dict[str, Any], outcome: str, decision: Event | None, returned_runs: Counter[str]
 ) -> str:
     if outcome not in ("late", "too late"):
         return str(fields["reason"])
-    if came_back:
-        return f"runs came back: {came_back.most_common(1)[0][0]}"
+    if returned_runs:
+        return f"runs came back: {returned_runs.most_common(1)[0][0]}"
     if decision is not None:
         return decision.name
     return "waited"
@@ -208,7 +225,7 @@
 def _loss_rows(ends: Iterable[JobEnd]) -> Iterator[LossRow]:
     groups: defaultdict[tuple[int, str, str, str], list[JobEnd]] = defaultdict(list)
     for end in ends:
-        groups[int(end.at), end.queue, end.outcome, _general(end.cause)].append(end)
+        groups[int(end.at), end.queue, end.outcome, _without_task_name(end.cause)].append(end)
     for (second, queue, outcome, cause), group in sorted(groups.items()):
         yield LossRow(
             second=datetime.fromtimestamp(second).strftime("%H:%M:%S"),
@@ -216,19 +233,21 @@
             outcome=outcome,
             cause=cause,
             jobs=len(group),
-            inputs=_means(group),
+            inputs=_mean_inputs(group),
         )
 
 
-def _general(cause: str) -> str:
-    """A cause without the task that it names."""
+def _without_task_name(cause: str) -> str:
+    """Drop the task name from a cause, so that equal causes share a group."""
     return "a task failed too often" if cause.endswith("failed too often") else cause
 
 
-def _means(group: list[JobEnd]) -> dict[str, float]:
+def _mean_inputs(group: list[JobEnd]) -> dict[str, float]:
     names = {name for end in group for name in end.inputs}
-    found = {name: [e.inputs[name] for e in group if name in e.inputs] for name in sorted(names)}
-    return {name: round(sum(values) / len(values), 1) for name, values in found.items()}
+    values_by_name = {
+        name: [e.inputs[name] for e in group if name in e.inputs] for name in sorted(names)
+    }
+    return {name: round(sum(values) / len(values), 1) for name, values in values_by_name.items()}
 
 
 def _queue_rows(ends: Iterable[JobEnd]) -> Iterator[QueueRow]:
@@ -256,16 +275,16 @@
     return round(ascending[min(len(ascending) - 1, int(share * len(ascending)))], 2)
 
 
-def _runs(found: list[Event], completed: int) -> RunRow:
-    names = Counter(event.name for event in found)
-    done = sum(e.name == "run ended" and e.fields.get("how") == "done" for e in found)
-    wasted = {name: names[name] for name in _WASTED if names[name]}
-    orders = names["run begun"] + names["run not begun"]
+def _runs(log_events: list[Event], completed: int) -> RunRow:
+    names = Counter(event.name for event in log_events)
+    done = sum(e.name == "run ended" and e.fields.get("how") == "done" for e in log_events)
+    wasted = {name: names[name] for name in _WASTED_RUN_EVENTS if names[name]}
+    requests = names["run begun"] + names["run not begun"]
     return RunRow(
         begun=names["run begun"],
         done=done,
         wasted=wasted,
-        per_completed_job=round(orders / max(1, completed), 2),
+        per_completed_job=round(requests / max(1, completed), 2),
         wasted_per_completed_job=round(sum(wasted.values()) / max(1, completed), 2),
     )
 
@@ -278,32 +297,34 @@
     "failed": "#404040",
     "cancelled": "#909090",
 }
-_BAR, _HEIGHT, _LEFT = 8, 200, 40
+_BAR_WIDTH_PX, _PLOT_HEIGHT_PX, _LEFT_MARGIN_PX = 8, 200, 40
 
 
 def plot(rows: list[LossRow]) -> str:
-    """Lost and late jobs per second as an SVG of stacked bars, one colour an outcome."""
+    """Render lost and late jobs per second as an SVG of stacked bars, coloured by outcome."""
     per_second: defaultdict[str, Counter[str]] = defaultdict(Counter)
     for row in rows:
         per_second[row["second"]][row["outcome"]] += row["jobs"]
-    most = max((sum(counts.values()) for counts in per_second.values()), default=1)
-    width = _LEFT + _BAR * len(per_second) + 120
-    parts = [f'<svg xmlns="http://www.w3.org/2000/svg" width="{width}" height="{_HEIGHT + 60}">']
+    max_jobs = max((sum(counts.values()) for counts in per_second.values()), default=1)
+    width = _LEFT_MARGIN_PX + _BAR_WIDTH_PX * len(per_second) + 120
+    parts = [
+        f'<svg xmlns="http://www.w3.org/2000/svg" width="{width}" height="{_PLOT_HEIGHT_PX + 60}">'
+    ]
     for number, (second, counts) in enumerate(per_second.items()):
-        parts += _bar(_LEFT + _BAR * number, second, counts, most)
+        parts += _bar(_LEFT_MARGIN_PX + _BAR_WIDTH_PX * number, second, counts, max_jobs)
     for number, (outcome, colour) in enumerate(_COLOURS.items()):
-        at = f'x="{width - 100}" y="{20 + 16 * number}"'
-        parts.append(f'<text {at} font-size="12" fill="{colour}">{outcome}</text>')
-    parts.append(f'<text x="2" y="20" font-size="12">{most} jobs</text>')
+        position = f'x="{width - 100}" y="{20 + 16 * number}"'
+        parts.append(f'<text {position} font-size="12" fill="{colour}">{outcome}</text>')
+    parts.append(f'<text x="2" y="20" font-size="12">{max_jobs} jobs</text>')
     return "\n".join([*parts, "</svg>\n"])
 
 
-def _bar(x: int, second: str, counts: Counter[str], most: int) -> Iterator[str]:
-    top = float(_HEIGHT + 20)
+def _bar(x: int, second: str, counts: Counter[str], max_jobs: int) -> Iterator[str]:
+    top = float(_PLOT_HEIGHT_PX + 20)
     for outcome, jobs in sorted(counts.items()):
-        height = _HEIGHT * jobs / most
+        height = _PLOT_HEIGHT_PX * jobs / max_jobs
         top -= height
         colour = _COLOURS.get(outcome, "#000")
         title = f"<title>{second} {outcome} {jobs}</title>"
-        area = f'x="{x}" y="{top:.1f}" width="{_BAR - 1}" height="{height:.1f}"'
+        area = f'x="{x}" y="{top:.1f}" width="{_BAR_WIDTH_PX - 1}" height="{height:.1f}"'
         yield f'<rect {area} fill="{colour}">{title}</rect>'
--- a/src/gentianmux/rules.py
+++ b/src/gentianmux/rules.py
@@ -1,17 +1,17 @@
-"""The items of the configuration, their types and the checks on them."""
+"""Types of the configuration items and the checks on them."""
 
 import re
 from collections.abc import Callable, Iterator, Mapping
 from typing import Any, NamedTuple, TypedDict, cast
 
-MAX_NAME = 64
+MAX_NAME_LENGTH = 64
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,63}\Z")
 _HASH = re.compile(r"[0-9a-f]{64}\Z")
 KINDS = ("member", "team", "service", "worker")
 
 
 class MemberItem(TypedDict, total=False):
-    """A member: who it is, and its part of the shared pool."""
+    """A member: its credentials, its share of the pool and its limits."""
 
     key_hashes: list[str]
     weight: int
@@ -21,13 +21,13 @@
 
 
 class TeamItem(TypedDict, total=False):
-    """A team inside a member, with its part of the member's claim."""
+    """A team of a member, with its share of the member's claim."""
 
     claim: float
 
 
 class ServiceItem(TypedDict, total=False):
-    """A service: whose it is, where it may run, and what it promises."""
+    """A service: its member, the workers it may run on, its priority and its objective."""
 
     member: str
     workers: list[str]
@@ -50,7 +50,7 @@
 
 
 class Fault(NamedTuple):
-    """One fault of a change: the item it is in and what is wrong."""
+    """One fault in a change: the item and the problem."""
 
     item: str
     problem: str
@@ -70,40 +70,40 @@
 
 
 def _text(value: Any) -> str | None:
-    fine = isinstance(value, str) and len(value) <= MAX_NAME
-    return None if fine else f"must be a text of at most {MAX_NAME} characters"
+    valid = isinstance(value, str) and len(value) <= MAX_NAME_LENGTH
+    return None if valid else f"must be a text of at most {MAX_NAME_LENGTH} characters"
 
 
 def _hashes(value: Any) -> str | None:
-    fine = isinstance(value, list) and all(
-        isinstance(each, str) and _HASH.match(each) for each in value
+    valid = isinstance(value, list) and all(
+        isinstance(key_hash, str) and _HASH.match(key_hash) for key_hash in value
     )
-    return None if fine else "must be a list of SHA-256 sums in hex"
+    return None if valid else "must be a list of SHA-256 sums in hex"
 
 
-def _texts(value: Any) -> str | None:
-    fine = isinstance(value, list) and all(_text(each) is None for each in value)
-    return None if fine else "must be a list of texts"
+def _text_list(value: Any) -> str | None:
+    valid = isinstance(value, list) and all(_text(text) is None for text in value)
+    return None if valid else "must be a list of texts"
 
 
 _count = _number(0, 10_000_000, int)
-_share = _number(0.0, 1.0, int, float)
+_ratio = _number(0.0, 1.0, int, float)
 
 _CHECKS: dict[str, dict[str, _Check]] = {
     "member": {
         "key_hashes": _hashes,
         "weight": _number(1, 1000, int),
-        "claim": _share,
+        "claim": _ratio,
         "queue_limit": _count,
         "rate_per_s": _count,
     },
-    "team": {"claim": _share},
+    "team": {"claim": _ratio},
     "service": {
         "member": _text,
-        "workers": _texts,
+        "workers": _text_list,
         "priority": _number(0, 9, int),
         "objective_ms": _count,
-        "objective_ratio": _share,
+        "objective_ratio": _ratio,
     },
     "worker": {
         "rack": _text,
@@ -134,14 +134,14 @@
     Yields
     ------
     Fault
-        Nothing when the change is sound.
+        One for each problem; none if the change is valid.
     """
     for key, value in changed.items():
         yield from _item_faults(key, value)
         yield from _reference_faults(items, key, value)
-    gone = {key.partition("/")[2] for key in removed if key.startswith("member/")}
+    removed_members = {key.partition("/")[2] for key in removed if key.startswith("member/")}
     for key, value in items.items():
-        if gone and _member_of(key, value) in gone:
+        if removed_members and _member_of(key, value) in removed_members:
             yield Fault(key, f"belongs to the removed member {_member_of(key, value)}")
 
 
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""The report on losses, from decision logs."""
+"""Guards the loss report against misclassified jobs and unreadable log lines."""
 
 import json
 from pathlib import Path
@@ -18,9 +18,9 @@
 
 
 def ended(second: float, job: str, outcome: str, took_ms: int, **fields: Any) -> str:
-    usual = {"queue": "q", "objective_ms": 200, "reason": "every task is done"}
+    defaults = {"queue": "q", "objective_ms": 200, "reason": "every task is done"}
     return line(
-        second, "job ended", job=job, outcome=outcome, took_ms=took_ms, **{**usual, **fields}
+        second, "job ended", job=job, outcome=outcome, took_ms=took_ms, **{**defaults, **fields}
     )
 
 
@@ -47,7 +47,7 @@
 ]
 
 
-def test_losses_are_told_by_second_queue_and_the_decision_that_caused_them():
+def test_losses_are_grouped_by_outcome_and_cause_with_mean_inputs():
     found = report(LOG)
     rows = {(r["outcome"], r["cause"]): r for r in found["losses"]}
     assert set(rows) == {
@@ -61,32 +61,32 @@
     assert found["unreadable_lines"] == 2
 
 
-def test_a_run_longer_than_its_estimate_is_no_loss_of_the_dispatcher():
+def test_run_longer_than_its_estimate_is_not_counted_as_a_loss():
     (queue,) = report(LOG)["queues"]
     assert queue["outcomes"] == {"in time": 2, "late": 1, "not run": 2, "too late": 1}
     assert queue["response_over_ideal_p50"] == pytest.approx(1.1)
     assert queue["response_over_ideal_p99"] == pytest.approx(4.0)
 
 
-def test_orders_that_led_to_nothing_are_counted_apart():
+def test_wasted_runs_are_counted_separately():
     runs = report(LOG)["runs"]
     assert runs["wasted"] == {"run not begun": 1}
     assert runs["per_completed_job"] == 1.0
     assert runs["wasted_per_completed_job"] == pytest.approx(0.33)
 
 
-def test_the_order_of_the_lines_does_not_matter():
+def test_report_does_not_depend_on_line_order():
     assert report(reversed(LOG)) == report(LOG)
 
 
 @given(st.lists(st.text(max_size=80), max_size=20))
-def test_lines_that_are_no_events_are_passed_over_and_counted(lines: list[str]) -> None:
+def test_lines_without_events_are_skipped_and_counted(lines: list[str]) -> None:
     reader = LogReader()
     assert list(reader.events(lines)) == []
     assert reader.unreadable <= len(lines)
 
 
-def test_the_tool_prints_a_table_or_json_and_draws_a_plot(
+def test_command_prints_table_or_json_and_writes_plot(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     log, svg = tmp_path / "entry.log", tmp_path / "losses.svg"
@@ -102,7 +102,7 @@
     assert json.loads(capsys.readouterr().out) == report(LOG)
 
 
-def test_a_log_that_is_missing_or_holds_no_job_is_a_clear_error(
+def test_missing_or_empty_log_exits_with_an_error(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     for path in (tmp_path / "missing.log", tmp_path / "empty.log"):
