--- a/src/gentianmux/daemon.py
+++ b/src/gentianmux/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon ``gentianmuxd``."""
+"""Command line of the daemon ``gentianmuxd``."""
 
 import os
 import signal
@@ -22,10 +22,10 @@
 
 EXIT_BAD_SETTING = 2
 EXIT_CANNOT_START = 3
-EXIT_CUT_OFF = 4
+EXIT_DRAIN_INCOMPLETE = 4
 
 
-def _flag(name: str) -> tuple[str, Any, Any]:
+def _flag_field(name: str) -> tuple[str, Any, Any]:
     option = OPTIONS[name]
     default = Settings._field_defaults[name]
     shown = ",".join(default) if isinstance(default, tuple) else default
@@ -43,12 +43,12 @@
     Annotated[bool, cappa.Arg(long="--check", help="Check the settings and exit.")],
     field(default=False),
 )
-Arguments = make_dataclass("Arguments", [*(_flag(name) for name in OPTIONS), _check_flag])
+Arguments = make_dataclass("Arguments", [*(_flag_field(name) for name in OPTIONS), _check_flag])
 Arguments.__doc__ = "Run one gentianmux process: an entry, an agent, or both for trying it out."
 
 
 def main() -> None:
-    """Run the daemon until it is told to stop."""
+    """Parse the command line and run the daemon until it receives SIGTERM or SIGINT."""
     args: Any = cappa.parse(
         cappa.command(name="gentianmuxd")(Arguments),
         version=cappa.Arg(__version__, long="--version"),
@@ -67,11 +67,23 @@
 
 
 def run(cfg: Settings) -> int:
-    """Run a process with these settings and return its exit status."""
+    """Run a process until it is signalled to stop.
+
+    Parameters
+    ----------
+    cfg : Settings
+        Settings of the process.
+
+    Returns
+    -------
+    int
+        Exit status: 0, ``EXIT_CANNOT_START``, or ``EXIT_DRAIN_INCOMPLETE`` if work was
+        still in flight after draining.
+    """
     node: Node | Standalone = Standalone(cfg) if cfg.role == "standalone" else Node(cfg)
     set_up_logging(cfg, cfg.name)
     stopping = Event()
-    _on_signals(stopping.set, _server_of(node).http.reload_certificate)
+    _install_signal_handlers(stopping.set, _node_of(node).http.reload_certificate)
     try:
         node.start()
     except OSError as exc:
@@ -81,14 +93,14 @@
     clean = node.drain()
     node.stop()
     logger.info("stopped")
-    return 0 if clean else EXIT_CUT_OFF
+    return 0 if clean else EXIT_DRAIN_INCOMPLETE
 
 
-def _server_of(node: Node | Standalone) -> Node:
+def _node_of(node: Node | Standalone) -> Node:
     return node.node if isinstance(node, Standalone) else node
 
 
-def _on_signals(stop: Callable[[], Any], reload: Callable[[], Any]) -> None:
+def _install_signal_handlers(stop: Callable[[], Any], reload: Callable[[], Any]) -> None:
     gevent.signal_handler(signal.SIGTERM, stop)
     gevent.signal_handler(signal.SIGINT, stop)
     gevent.signal_handler(signal.SIGHUP, reload)
--- a/src/gentianmux/events.py
+++ b/src/gentianmux/events.py
@@ -1,4 +1,4 @@
-"""Log events: one JSON object a line, or text for a terminal."""
+"""Log output as JSON lines, or as text for a terminal."""
 
 import json
 import os
@@ -13,22 +13,22 @@
 
 from .settings import Settings
 
-MAX_WAITING_LINES = 2000
-"""Lines kept while nobody takes them: some 5 s of a busy entry, 0.6 MB."""
+MAX_PENDING_LINES = 2000
+"""Lines buffered while the reader is not reading."""
 
 MAX_LINES_PER_S = 400
-"""Lines a second beyond which only warnings and errors pass: four times a busy entry's rate."""
+"""Rate above which only warnings and errors are written."""
 
 
 def set_up_logging(cfg: Settings, process: str) -> None:
-    """Send log events to standard error in the form that the settings ask for.
+    """Configure logging to standard error.
 
     Parameters
     ----------
     cfg : Settings
-        Level and form.
+        Supplies ``log_level`` and ``log_format``.
     process : str
-        Stands on every event.
+        Process name, added to every event in JSON form.
     """
     logger.remove()
     level = cfg.log_level.upper()
@@ -38,80 +38,95 @@
         logger.add(_JsonSink(process), level=level, format="{message}")
 
 
-def set_up_decision_log(process: str, on_dropped: Callable[[int], None]) -> "BoundedLines":
-    """Send log events to standard output, bounded and without ever waiting for a reader.
+def set_up_decision_log(process: str, on_dropped: Callable[[int], None]) -> "BoundedLineWriter":
+    """Configure JSON logging to standard output that never blocks on its reader.
 
     Parameters
     ----------
     process : str
-        Stands on every event.
+        Process name, added to every event in JSON form.
     on_dropped : callable
-        Called with the number of lines that were dropped.
+        Called with the number of lines dropped.
+
+    Returns
+    -------
+    BoundedLineWriter
+        The writer, already running in a greenlet of its own.
     """
-    lines = BoundedLines(sys.stdout.fileno(), on_dropped)
+    lines = BoundedLineWriter(sys.stdout.fileno(), on_dropped)
     logger.remove()
     logger.add(_JsonSink(process, lines.put), level="INFO", format="{message}")
     gevent.spawn(lines.run)
     return lines
 
 
-class BoundedLines:
-    """Writes lines to a descriptor as it takes them; what waits is bounded, the rest dropped.
+class BoundedLineWriter:
+    """Non-blocking line writer with a bounded buffer; lines beyond the bound are dropped.
 
     Parameters
     ----------
-    descriptor : int
-        Where to write; it is set not to block.
+    fd : int
+        File descriptor to write to; it is switched to non-blocking mode.
     on_dropped : callable
-        Called with the number of lines that were dropped.
+        Called with the number of lines dropped.
     """
 
-    def __init__(self, descriptor: int, on_dropped: Callable[[int], None]) -> None:
-        os.set_blocking(descriptor, False)
-        self._descriptor = descriptor
+    def __init__(self, fd: int, on_dropped: Callable[[int], None]) -> None:
+        os.set_blocking(fd, False)
+        self._fd = fd
         self._on_dropped = on_dropped
-        self._waiting: deque[bytes] = deque()
+        self._pending: deque[bytes] = deque()
         self._wake = Event()
-        self._second = 0
-        self._in_second = 0
+        self._current_second = 0
+        self._lines_this_second = 0
 
     def put(self, line: str, urgent: bool, second: int) -> None:
-        """Queue a line; ``urgent`` ones pass the bound on lines a second."""
-        if second != self._second:
-            self._second, self._in_second = second, 0
-        self._in_second += 1
-        over_rate = self._in_second > MAX_LINES_PER_S and not urgent
-        if over_rate or len(self._waiting) >= MAX_WAITING_LINES:
+        """Buffer a line, or drop it when the buffer is full or the rate limit is exceeded.
+
+        Parameters
+        ----------
+        line : str
+            Text to write, with its newline.
+        urgent : bool
+            Whether the line is exempt from the rate limit.
+        second : int
+            Unix time of the line in whole seconds.
+        """
+        if second != self._current_second:
+            self._current_second, self._lines_this_second = second, 0
+        self._lines_this_second += 1
+        over_rate = self._lines_this_second > MAX_LINES_PER_S and not urgent
+        if over_rate or len(self._pending) >= MAX_PENDING_LINES:
             self._on_dropped(1)
             return
-        self._waiting.append(line.encode())
+        self._pending.append(line.encode())
         self._wake.set()
 
     def run(self) -> None:
-        """Write for as long as the process lives."""
+        """Write buffered lines until the process exits."""
         while True:
             self._wake.wait()
             self._wake.clear()
-            while self._waiting:
+            while self._pending:
                 if not self.write_some():
                     gevent.sleep(0.05)
             gevent.sleep(0)
 
     def write_some(self) -> bool:
-        """Write what is taken at once; false when nothing is."""
-        data = b"".join(self._waiting)
+        """Write as much as the descriptor accepts; return False if it accepts nothing."""
+        data = b"".join(self._pending)
         try:
-            written = os.write(self._descriptor, data)
+            written = os.write(self._fd, data)
         except BlockingIOError:
             return False
         except OSError:
-            # Nobody will ever read this descriptor again.
-            self._on_dropped(len(self._waiting))
-            self._waiting.clear()
+            # The reading end is closed for good, so retrying cannot succeed.
+            self._on_dropped(len(self._pending))
+            self._pending.clear()
             return True
-        self._waiting.clear()
+        self._pending.clear()
         if written < len(data):
-            self._waiting.append(data[written:])
+            self._pending.append(data[written:])
         return written > 0
 
 
--- a/src/gentianmux/metrics.py
+++ b/src/gentianmux/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and histograms, sent by statsd and kept for whoever asks this process."""
+"""Counters, gauges and histograms, exported to StatsD and in Prometheus text format."""
 
 from bisect import bisect_left
 from collections import Counter
@@ -12,7 +12,7 @@
 
 
 class Metric(NamedTuple):
-    """A documented metric."""
+    """Kind, unit and description of a metric."""
 
     kind: str
     unit: str
@@ -87,30 +87,32 @@
 }
 
 BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 0.75, 1.0, 1.5, 2.5, 5.0, 10.0)
-"""Upper bounds in seconds: tasks last from 0.05 to some seconds, objectives from 0.1 to 3."""
+"""Upper bounds of the histogram buckets."""
 
 
 class Histogram:
-    """Counts of observations by ``BUCKETS_S``, the last one without a bound, and their sum."""
+    """Histogram of durations with the bounds ``BUCKETS_S`` and an unbounded last bucket."""
 
     def __init__(self) -> None:
         self.counts = [0] * (len(BUCKETS_S) + 1)
         self.sum = 0.0
 
     def observe(self, seconds: float) -> None:
-        """Count one observation."""
+        """Record one duration in seconds."""
         self.counts[bisect_left(BUCKETS_S, seconds)] += 1
         self.sum += seconds
 
     def cumulative(self) -> list[tuple[str, float]]:
-        """Upper bound and number of observations up to it, for each bucket."""
+        """Return the upper bound and cumulative count of each bucket."""
         bounds = [*map(str, BUCKETS_S), "+Inf"]
         totals = [sum(self.counts[: end + 1]) for end in range(len(self.counts))]
         return [(bound, float(total)) for bound, total in zip(bounds, totals, strict=True)]
 
 
 class Metrics:
-    """Counts what happens; each name is in ``METRICS``, with a label behind a dot.
+    """Registry of the metrics of one process.
+
+    Names are the keys of ``METRICS``; a labelled counter is stored as ``name.label``.
 
     Examples
     --------
@@ -126,7 +128,7 @@
         self._histograms: dict[tuple[str, str], Histogram] = {}
         self._client: StatsClient | None = None
         if cfg.statsd:
-            # Some 4 ms of each start where nobody listens.
+            # Imported here to keep startup fast when StatsD is disabled.
             import statsd
 
             ip, _, port = cfg.statsd.partition(":")
@@ -134,47 +136,47 @@
         self._sent: Counter[str] = Counter()
 
     def count(self, name: str, amount: int = 1, label: str = "") -> None:
-        """Add to a counter."""
+        """Increment a counter by ``amount``."""
         self._counters[f"{name}.{label}" if label else name] += amount
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a gauge."""
+        """Set a gauge to ``value``."""
         self._gauges[name] = value
 
     def observe(self, name: str, seconds: float, label: str = "") -> None:
-        """Count a duration in a histogram."""
+        """Record a duration in seconds in a histogram."""
         self._histograms.setdefault((name, label), Histogram()).observe(seconds)
 
     def text(self) -> bytes:
-        """Everything in the text form that metrics collectors read."""
-        # Read only while somebody looks, so its 3 MB are not taken from every process.
+        """Return all metrics in Prometheus text format."""
+        # Imported here to save memory in processes that are never scraped.
         from prometheus_client.exposition import generate_latest
 
         return bytes(generate_latest(self))
 
     def collect(self) -> Iterator[Any]:
-        """Yield metric families, for ``text``."""
+        """Yield metric families, as a Prometheus collector does."""
         from prometheus_client import core
 
         for name, metric in METRICS.items():
-            full = f"gentianmux_{name}"
+            full_name = f"gentianmux_{name}"
             if metric.kind == "counter":
-                counter = core.CounterMetricFamily(full, metric.meaning, labels=["label"])
+                counter = core.CounterMetricFamily(full_name, metric.meaning, labels=["label"])
                 for key, count in self._counters.items():
                     if key.partition(".")[0] == name:
                         counter.add_metric([key.partition(".")[2]], count)
                 yield counter
             elif metric.kind == "gauge":
-                yield core.GaugeMetricFamily(full, metric.meaning, self._gauges.get(name, 0))
+                yield core.GaugeMetricFamily(full_name, metric.meaning, self._gauges.get(name, 0))
             else:
-                family = core.HistogramMetricFamily(full, metric.meaning, labels=["label"])
-                for (named, label), histogram in self._histograms.items():
-                    if named == name:
+                family = core.HistogramMetricFamily(full_name, metric.meaning, labels=["label"])
+                for (metric_name, label), histogram in self._histograms.items():
+                    if metric_name == name:
                         family.add_metric([label], histogram.cumulative(), histogram.sum)
                 yield family
 
     def total(self, name: str) -> int:
-        """Sum of a counter over its labels."""
+        """Return the sum of a counter over its labels."""
         return sum(
             count
             for key, count in self._counters.items()
@@ -182,11 +184,11 @@
         )
 
     def snapshot(self) -> dict[str, float]:
-        """All counters and gauges by name."""
+        """Return all counters and gauges by name."""
         return {**self._counters, **self._gauges}
 
     def flush(self) -> None:
-        """Send what has changed since the last call, in one pipeline."""
+        """Send counter increments since the last call, and all gauges, to StatsD."""
         if self._client is None:
             return
         with self._client.pipeline() as pipe:
--- a/src/gentianmux/settings.py
+++ b/src/gentianmux/settings.py
@@ -1,4 +1,4 @@
-"""The daemon's settings: flags and environment variables, checked all at once."""
+"""Daemon settings, read from flags and environment variables."""
 
 from __future__ import annotations
 
@@ -11,12 +11,14 @@
 
 ENV_PREFIX = "GENTIANMUX_"
 _ADDRESS = re.compile(r"(\d{1,3}\.){3}\d{1,3}:\d{1,5}\Z")
-_KEY = re.compile(r"[\x21-\x7e]{16,64}\Z")
+_PEER_KEY = re.compile(r"[\x21-\x7e]{16,64}\Z")
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_-]{0,63}\Z")
 
 
 class Settings(NamedTuple):
-    """Everything a daemon is told from outside; passed whole to what it builds.
+    """Settings of one daemon process, with their defaults.
+
+    A suffix gives the unit: ``_ms``, ``_s``, ``_kb`` (KiB) or ``_percent``.
 
     Examples
     --------
@@ -63,7 +65,7 @@
 
 
 class Option(NamedTuple):
-    """How one setting is written and checked; ``low`` and ``high`` bound whole numbers."""
+    """Help text and validation of one setting; ``low`` and ``high`` are inclusive bounds."""
 
     unit: str
     help: str
@@ -82,7 +84,7 @@
     "peer_address": Option("ip:port", "Where peers connect (TCP and UDP).", pattern=_ADDRESS),
     "http_address": Option("ip:port", "Where callers or operators connect.", pattern=_ADDRESS),
     "log_url": Option("url", "The platform's log."),
-    "peer_key": Option("", "Secret of the fleet, 16 to 64 characters.", pattern=_KEY),
+    "peer_key": Option("", "Secret of the fleet, 16 to 64 characters.", pattern=_PEER_KEY),
     "seeds": Option("ip:port,...", "Peers to contact first.", pattern=_ADDRESS),
     "endpoint": Option("ip:port", "The endpoint beside this agent.", pattern=_ADDRESS),
     "services": Option("name,...", "Services that the endpoint runs.", pattern=_NAME),
@@ -120,35 +122,35 @@
 
 
 class SettingFault(NamedTuple):
-    """One setting that cannot be used."""
+    """A setting that failed validation, and why."""
 
     setting: str
     problem: str
 
 
 def env_name(setting: str) -> str:
-    """Environment variable of a setting."""
+    """Return the environment variable of a setting."""
     return ENV_PREFIX + setting.upper()
 
 
 def read_settings(
     flags: Mapping[str, str], env: Mapping[str, str] | None = None
 ) -> Result[Settings, list[SettingFault]]:
-    """Build settings from texts, a flag before its environment variable.
+    """Parse and validate settings; a flag takes precedence over its environment variable.
 
     Parameters
     ----------
     flags : mapping of str to str
-        Texts by setting, only those that were given.
+        Unparsed values by setting name, for the flags that were given.
     env : mapping of str to str, optional
-        The environment.
+        Environment variables.
 
     Returns
     -------
     Result
-        The settings, or every fault found.
+        The settings, or all faults found.
     """
-    # Loaded only where flags are read: 0.7 MB that processes with a settings file do not pay for.
+    # Imported here to save memory in processes that read no flags.
     from returns.result import Failure, Success
 
     texts = {
@@ -158,9 +160,9 @@
     }
     known = {env_name(name) for name in Settings._fields}
     faults = [
-        SettingFault(each, "is no setting")
-        for each in (env or {})
-        if each.startswith(ENV_PREFIX) and each not in known
+        SettingFault(variable, "is no setting")
+        for variable in (env or {})
+        if variable.startswith(ENV_PREFIX) and variable not in known
     ]
     values: dict[str, Any] = {}
     for name, text in texts.items():
@@ -170,7 +172,7 @@
         else:
             faults.append(parsed.failure())
     cfg = Settings(**values)
-    faults.extend(_joint_faults(cfg))
+    faults.extend(_cross_setting_faults(cfg))
     return Failure(faults) if faults else Success(cfg)
 
 
@@ -188,7 +190,7 @@
     if option.choices and text not in option.choices:
         return Failure(SettingFault(name, f"must be one of {', '.join(option.choices)}"))
     if text and not _matches(text, option):
-        shown = "what was given" if option.pattern is _KEY else repr(text)
+        shown = "what was given" if option.pattern is _PEER_KEY else repr(text)
         return Failure(SettingFault(name, f"cannot be {shown}: {option.help}"))
     return Success(text)
 
@@ -213,7 +215,7 @@
     return bool(option.pattern.match(text))
 
 
-def _joint_faults(cfg: Settings) -> Iterator[SettingFault]:
+def _cross_setting_faults(cfg: Settings) -> Iterator[SettingFault]:
     if cfg.renew_ms * 2 > cfg.lease_ms:
         yield SettingFault("renew_ms", "must be at most half of lease_ms")
     if bool(cfg.tls_cert) != bool(cfg.tls_key):
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,5 @@
-"""Configuration: races, repeats, bad changes, imports, publishing through a lossy log."""
+"""Guards against divergent configuration after concurrent, repeated or invalid changes, and
+against bad imports, lost replies of the log and settings that are not validated."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -12,49 +13,49 @@
 from gentianmux.settings import read_settings
 
 
-def fold(*changes: Change) -> ConfigState:
+def replay(*changes: Change) -> ConfigState:
     state = ConfigState()
     for offset, change in enumerate(changes):
         state.apply(Record(offset, change.to_json()))
     return state
 
 
-def test_of_two_changes_on_one_version_the_first_wins_everywhere() -> None:
+def test_first_of_two_conflicting_changes_wins() -> None:
     one = Change("a", -1, {"member/x": {"weight": 1}}, [])
     other = Change("b", -1, {"member/x": {"weight": 2}}, [])
-    state = fold(one, other)
+    state = replay(one, other)
     assert state.items["member/x"] == {"weight": 1}
     assert state.outcomes["b"].code is ResultCode.CHANGE_CONFLICT
     assert state.version == 0
 
 
 def test_changes_to_different_items_do_not_conflict() -> None:
-    state = fold(Change("a", -1, {"member/x": {}}, []), Change("b", -1, {"member/y": {}}, []))
+    state = replay(Change("a", -1, {"member/x": {}}, []), Change("b", -1, {"member/y": {}}, []))
     assert state.version == 1
 
 
-def test_a_repeated_change_is_ignored() -> None:
+def test_repeated_change_is_ignored() -> None:
     change = Change("a", -1, {"member/x": {}}, [])
-    assert fold(change, change).version == 0
+    assert replay(change, change).version == 0
 
 
-def test_a_bad_change_is_rejected_whole_with_all_its_faults() -> None:
+def test_invalid_change_is_rejected_atomically_with_all_faults() -> None:
     bad = {"member/x": {"weight": 0, "claim": 2}, "service/s": {}, "member/y": {}}
-    state = fold(Change("a", -1, bad, []))
+    state = replay(Change("a", -1, bad, []))
     assert state.items == {}
     assert state.outcomes["a"].code is ResultCode.CHANGE_INVALID
     assert len(state.outcomes["a"].faults) == 3
 
 
-def test_a_member_with_services_cannot_be_removed() -> None:
+def test_member_with_services_cannot_be_removed() -> None:
     items = {"member/x": {}, "service/s": {"member": "x"}}
-    state = fold(Change("a", -1, items, []), Change("b", 0, {}, ["member/x"]))
+    state = replay(Change("a", -1, items, []), Change("b", 0, {}, ["member/x"]))
     assert state.outcomes["b"].code is ResultCode.CHANGE_INVALID
     assert "member/x" in state.items
 
 
 @given(st.permutations(range(6)), st.lists(st.integers(0, 5), max_size=6))
-def test_every_reader_of_one_log_has_one_state_and_no_version_falls(
+def test_replicas_converge_and_versions_never_decrease(
     order: list[int], repeats: list[int]
 ) -> None:
     made = [Change(f"c{n}", n % 3 - 1, {f"member/m{n % 2}": {"weight": n + 1}}, []) for n in order]
@@ -70,7 +71,7 @@
     assert versions == sorted(versions)
 
 
-def test_faults_of_an_inventory_are_named_by_line() -> None:
+def test_inventory_faults_report_line_numbers() -> None:
     text = "name,failure_domain,cores\nw1,fd1,16\nw1,fd1,x\n,fd1,4\nw2,,4\n"
     found = read_inventory(text, False)
     assert [fault.line for fault in found.faults] == [3, 3, 4, 5]
@@ -84,20 +85,20 @@
 
 
 @given(st.text(max_size=200), st.booleans())
-def test_any_text_is_an_inventory_or_has_faults(text: str, is_json: bool) -> None:
+def test_arbitrary_text_parses_or_reports_faults(text: str, is_json: bool) -> None:
     found = read_inventory(text, is_json)
     assert found.faults or all(key.startswith("worker/") for key in found.items)
     read_rules(text)
 
 
-def test_an_import_changes_only_what_differs_and_only_its_kinds() -> None:
-    state = fold(Change("a", -1, {"member/x": {}, "worker/w": {"failure_domain": "f"}}, []))
+def test_import_changes_only_differing_items_of_its_kinds() -> None:
+    state = replay(Change("a", -1, {"member/x": {}, "worker/w": {"failure_domain": "f"}}, []))
     change = diff(state, {"worker/v": {"failure_domain": "f"}}, ["worker"])
     assert (list(change.set), change.remove, change.based_on) == (["worker/v"], ["worker/w"], 0)
 
 
 class LossyLog(MemoryLog):
-    """Loses the reply of every second append, after the write."""
+    """Performs every append, but loses the reply of the first and every second one after it."""
 
     count = 0
 
@@ -109,23 +110,23 @@
         return offset
 
 
-def test_publish_finds_its_change_although_the_reply_was_lost() -> None:
+def test_publish_finds_its_change_after_a_lost_reply() -> None:
     log = LossyLog()
     done = publish(log, Change("a", -1, {"member/x": {}}, []), 5, lambda: None)
     assert done.code is ResultCode.OK
     assert log.count == 1
 
 
-def test_publish_says_unknown_when_the_log_stays_down() -> None:
-    class Down(MemoryLog):
+def test_publish_returns_unknown_while_the_log_is_unavailable() -> None:
+    class UnavailableLog(MemoryLog):
         def read(self, stream: str, offset: int, limit: int = 0) -> list[Record]:
             raise LogError(ResultCode.LOG_UNAVAILABLE)
 
-    done = publish(Down(), Change("a", -1, {}, []), 3, lambda: None)
+    done = publish(UnavailableLog(), Change("a", -1, {}, []), 3, lambda: None)
     assert done.code is ResultCode.CHANGE_UNKNOWN
 
 
-def test_every_fault_of_the_settings_is_listed_at_once() -> None:
+def test_all_settings_faults_are_reported_together() -> None:
     faults = read_settings(
         {"slots": "0", "role": "king", "peer_address": "300.0.0.1:1"}, {"GENTIANMUX_TYPO": "1"}
     ).failure()
@@ -137,6 +138,6 @@
     ]
 
 
-def test_a_flag_goes_before_its_variable() -> None:
+def test_flag_takes_precedence_over_environment_variable() -> None:
     cfg = read_settings({"slots": "4"}, {"GENTIANMUX_SLOTS": "5", "GENTIANMUX_NAME": "n"}).unwrap()
     assert (cfg.slots, cfg.name) == (4, "n")
