--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Stops what a scenario started."""
+"""Behave hooks: disable logging and stop the system after each scenario."""
 
 from typing import Any
 
@@ -6,11 +6,11 @@
 
 
 def before_all(_context: Any) -> None:
-    """Keep log events out of the output."""
+    """Disable logging."""
     logger.remove()
 
 
 def after_scenario(context: Any, _scenario: Any) -> None:
-    """Stop the scenario's system."""
+    """Stop the system that the scenario started."""
     if "system" in context:
         context.system.stop()
--- a/features/steps/session_steps.py
+++ b/features/steps/session_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the session features."""
+"""Step definitions of the session features."""
 
 import json
 import socket
@@ -18,7 +18,7 @@
 from gentianmux.standalone import Standalone
 
 EXAMPLES = Path(__file__).parent.parent.parent / "examples"
-READY_S = 20
+READY_TIMEOUT_S = 20
 
 
 def _free_address() -> str:
@@ -42,47 +42,47 @@
     items = read_inventory((EXAMPLES / "inventory.csv").read_text(), False).items
     items.update(read_rules((EXAMPLES / "rules.json").read_text()).items)
     change = diff(ConfigState(), items, ("worker", "member", "team", "service"))
-    done = publish(context.ctx.log, change._replace(change_id="import"), 1, lambda: None)
-    assert done.code is ResultCode.OK, done
+    outcome = publish(context.ctx.log, change._replace(change_id="import"), 1, lambda: None)
+    assert outcome.code is ResultCode.OK, outcome
     context.client = ApiClient(f"http://{cfg.http_address}", "steppe-demo-key")
-    with gevent.Timeout(READY_S):
+    with gevent.Timeout(READY_TIMEOUT_S):
         while context.client.call("GET", "/readyz").status != 200:
             gevent.sleep(0.02)
 
 
 @when('steppe submits job "{job_id}" of {count:d} tasks to {service}')
-def submit(context: Any, job_id: str, count: int, service: str) -> None:
+def submit_job(context: Any, job_id: str, count: int, service: str) -> None:
     tasks = [{"payload": f"task {number}"} for number in range(count)]
     body = json.dumps({"id": job_id, "service": service, "tasks": tasks}).encode()
-    context.before = context.answer if "answer" in context else None
+    context.previous_answer = context.answer if "answer" in context else None
     context.answer = context.client.call("POST", "/v1/jobs", body, {"Prefer": "wait=20"})
 
 
 @then("the answer is complete with {count:d} outputs")
-def is_complete(context: Any, count: int) -> None:
+def check_complete(context: Any, count: int) -> None:
     content = context.answer.content
     assert content["complete"], content
     assert [task["output"] for task in content["tasks"]] == [f"task {n}" for n in range(count)]
 
 
 @then("the answer is the same as before")
-def is_same(context: Any) -> None:
-    assert context.answer == context.before
+def check_same_answer(context: Any) -> None:
+    assert context.answer == context.previous_answer
 
 
 @then("the endpoint started {count:d} tasks")
-def started(context: Any, count: int) -> None:
+def check_started_tasks(context: Any, count: int) -> None:
     assert context.ctx.metrics.total("starts") == count
 
 
 @then("the answer is refused as {name} and did not run")
-def refused(context: Any, name: str) -> None:
+def check_refused(context: Any, name: str) -> None:
     content = context.answer.content
     assert (content["name"], content["ran"]) == (name, "no"), content
 
 
 @when("two operators change the weight of member {member} on the same version")
-def race(context: Any, member: str) -> None:
+def publish_concurrent_changes(context: Any, member: str) -> None:
     log = context.ctx.log
     state = ConfigState()
     Follower(log, "config", state).poll()
@@ -94,5 +94,5 @@
 
 
 @then("one change is accepted and one is rejected as {name}")
-def one_each(context: Any, name: str) -> None:
+def check_one_accepted(context: Any, name: str) -> None:
     assert context.outcomes == ["ok", name]
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings of all tests: no log events, the same examples in every run, and what is known red."""
+"""Shared pytest configuration: logging off, derandomized Hypothesis, and known failures."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -15,7 +15,7 @@
 
 
 def known_red() -> Iterator[tuple[str, str]]:
-    """The tests that may fail for now, and the line that says why."""
+    """Yield the node ID and reason of each test listed in ``KNOWN-RED.txt``."""
     if KNOWN_RED.exists():
         for line in KNOWN_RED.read_text().splitlines():
             test, _, reason = line.partition(" | ")
@@ -23,7 +23,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Let a test that is listed fail; the run then passes over it and prints its line."""
+    """Mark the listed tests as expected failures; one that passes is no error."""
     reasons = dict(known_red())
     for item in items:
         if item.nodeid in reasons:
@@ -31,6 +31,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print every test that is known red."""
+    """Print the known failures in the terminal summary."""
     for test, reason in known_red():
         terminalreporter.write_line(f"known red: {test} | {reason}")
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay whose open connections can go silent for good, while new ones work."""
+"""A TCP relay that simulates half-open connections."""
 
 from typing import Any
 
@@ -9,7 +9,9 @@
 
 
 class Relay:
-    """Carries bytes between a free loopback port and an address, until it is told to be silent.
+    """Forwards TCP connections from a free loopback port to a target address.
+
+    After `silence`, connections already open stop forwarding; new connections still work.
 
     Examples
     --------
@@ -21,33 +23,36 @@
         self._target = (ip, int(port))
         self.address = f"127.0.0.1:{free_port()}"
         self.connections = 0
-        self._age = 0
+        self._generation = 0
         self._server = StreamServer(("127.0.0.1", int(self.address.partition(":")[2])), self._serve)
         self._server.start()
 
     def silence(self) -> None:
-        """From now on nothing passes on the connections that are open."""
-        self._age += 1
+        """Stop forwarding on all open connections, without closing them."""
+        self._generation += 1
 
     def stop(self) -> None:
-        """Take no more connections."""
+        """Stop accepting connections."""
         self._server.stop(timeout=0)
 
     def _serve(self, sock: Any, _address: object) -> None:
         self.connections += 1
-        age = self._age
-        other = socket.create_connection(self._target)
-        for each in (sock, other):
-            each.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        pumps = [gevent.spawn(self._pump, *pair, age) for pair in ((sock, other), (other, sock))]
-        gevent.joinall(pumps)
+        generation = self._generation
+        upstream = socket.create_connection(self._target)
+        for conn in (sock, upstream):
+            conn.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        forwarders = [
+            gevent.spawn(self._forward, *pair, generation)
+            for pair in ((sock, upstream), (upstream, sock))
+        ]
+        gevent.joinall(forwarders)
 
-    def _pump(self, source: Any, sink: Any, age: int) -> None:
+    def _forward(self, source: Any, sink: Any, generation: int) -> None:
         while True:
             try:
                 data = source.recv(65536)
-                if age != self._age:
-                    continue_silent(source)
+                if generation != self._generation:
+                    discard_received(source)
                     return
                 if not data:
                     sink.shutdown(socket.SHUT_WR)
@@ -57,8 +62,8 @@
                 return
 
 
-def continue_silent(source: Any) -> None:
-    """Take what still comes and pass nothing on, not even the end."""
+def discard_received(source: Any) -> None:
+    """Discard data until EOF, then keep the connection to the other side open for a minute."""
     while source.recv(65536):
         pass
     gevent.sleep(60)
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -1,4 +1,4 @@
-"""The tool of experiments: scenario files, policies, tables."""
+"""The experiment runner: scenario files, policy overrides and result tables."""
 
 from pathlib import Path
 
@@ -11,28 +11,30 @@
 from gentianmux.leased import admission_policy
 
 SCENARIOS = sorted((ROOT / "bench" / "scenarios").glob("*.toml"))
-BRIEF = USUAL._replace(seconds=1.0, burst=(0.2, 0.8))
+SHORT_SCENARIO = USUAL._replace(seconds=1.0, burst=(0.2, 0.8))
 
 
 @pytest.mark.parametrize("path", SCENARIOS, ids=lambda path: path.stem)
-def test_every_scenario_file_can_be_read_and_names_constants_that_exist(path: Path) -> None:
+def test_scenario_files_parse_and_override_existing_constants(path: Path) -> None:
     experiment = read_experiment(path)
     assert len(experiment.scenario.rooms) == len(experiment.scenario.speeds)
     assert len(list(runs(experiment))) == (
         len(experiment.policies) * len(experiment.loads) * experiment.seeds
     )
-    brief = experiment.scenario._replace(seconds=0.2, power=None)
+    short_scenario = experiment.scenario._replace(seconds=0.2, power=None)
     for policy, constants in experiment.policies.items():
-        assert play_run(Run(policy, constants, 1.0, 0, brief)).in_time > 0
+        assert play_run(Run(policy, constants, 1.0, 0, short_scenario)).in_time > 0
 
 
-def test_a_policy_holds_for_its_run_alone() -> None:
-    before = admission_policy.WAIT_FACTOR
-    plain = play(3.0, 1, BRIEF)
-    changed = play_run(Run("once", {"admission_policy.WAIT_FACTOR": 0.01}, 3.0, 1, BRIEF))
-    assert changed.refused < plain.refused
-    assert before == admission_policy.WAIT_FACTOR
-    assert play(3.0, 1, BRIEF) == plain
+def test_policy_overrides_are_restored_after_the_run() -> None:
+    original = admission_policy.WAIT_FACTOR
+    baseline = play(3.0, 1, SHORT_SCENARIO)
+    overridden = play_run(
+        Run("once", {"admission_policy.WAIT_FACTOR": 0.01}, 3.0, 1, SHORT_SCENARIO)
+    )
+    assert overridden.refused < baseline.refused
+    assert original == admission_policy.WAIT_FACTOR
+    assert play(3.0, 1, SHORT_SCENARIO) == baseline
 
 
 def test_the_table_has_a_row_for_each_policy_and_load(tmp_path: Path) -> None:
@@ -41,22 +43,22 @@
         'loads = [1.0, 2.0]\nseeds = 2\n[policies.one]\n"admission_policy.WAIT_FACTOR" = 1.0\n'
     )
     experiment = read_experiment(path)
-    results = [play(run.load, run.seed, BRIEF) for run in runs(experiment)]
-    found = list(rows(experiment, results))
-    assert [(row.policy, row.load) for row in found] == [
+    results = [play(run.load, run.seed, SHORT_SCENARIO) for run in runs(experiment)]
+    table_rows = list(rows(experiment, results))
+    assert [(row.policy, row.load) for row in table_rows] == [
         ("as it is", 1.0),
         ("as it is", 2.0),
         ("one", 1.0),
         ("one", 2.0),
     ]
-    assert len(list(table(found))) == 5
+    assert len(list(table(table_rows))) == 5
 
 
 @pytest.mark.parametrize(
     "text",
     ["[scenario]\nroms = [1]\n", "[power]\nat = 1\n", "[[kinds]]\nname = 'a'\n", "loads = x"],
 )
-def test_a_bad_file_is_refused_with_its_name(tmp_path: Path, text: str) -> None:
+def test_invalid_file_raises_an_error_that_names_it(tmp_path: Path, text: str) -> None:
     path = tmp_path / "bad.toml"
     path.write_text(text)
     with pytest.raises(ValueError, match=r"bad\.toml"):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Tests that are known to fail: passed over by their lines alone, and printed."""
+"""Only tests listed in ``KNOWN-RED.txt`` may fail, and their entries are printed."""
 
 from pathlib import Path
 
@@ -16,7 +16,7 @@
 """
 
 
-def test_only_listed_tests_are_passed_over_and_their_lines_printed(
+def test_only_listed_tests_may_fail_and_their_entries_are_printed(
     pytester: pytest.Pytester,
 ) -> None:
     folder = pytester.mkdir("tests")
@@ -29,7 +29,7 @@
     result.stdout.fnmatch_lines([f"known red: {line}"])
 
 
-def test_without_a_list_nothing_is_passed_over(pytester: pytest.Pytester) -> None:
+def test_without_a_list_every_failure_counts(pytester: pytest.Pytester) -> None:
     folder = pytester.mkdir("tests")
     (folder / "conftest.py").write_text(CONFTEST)
     (folder / "test_it.py").write_text(TESTS)
