--- a/src/gentianmux/api_client.py
+++ b/src/gentianmux/api_client.py
@@ -1,4 +1,4 @@
-"""Calls the HTTP interface of an entry or agent, for the command-line tool."""
+"""HTTP client for the API of an entry or agent."""
 
 import json
 import ssl
@@ -13,25 +13,25 @@
 
 
 class ApiReply(NamedTuple):
-    """An answer of the interface."""
+    """HTTP status and decoded JSON body of a reply."""
 
     status: int
     content: dict[str, Any]
 
 
 class ApiClient:
-    """One caller of an entry.
+    """Client for one entry or agent, acting as one member.
 
     Parameters
     ----------
     url : str
-        Address by IP number, such as ``http://127.0.0.1:7480``.
+        Base URL with an IP address, such as ``http://127.0.0.1:7480``.
     key : str
-        The member's key; empty for calls that need none.
+        The member's API key; empty for calls that need no authentication.
     timeout_s : float
-        Bound on one call, in seconds.
+        Network timeout of a call, in seconds.
     insecure : bool
-        Whether to accept any certificate.
+        Whether to skip verification of the TLS certificate.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         headers = {"Authorization": f"Bearer {key}"} if key else {}
         options: dict[str, Any] = {}
         if insecure:
-            options["ssl_context_factory"] = _unchecked_context
+            options["ssl_context_factory"] = _unverified_ssl_context
         self._client = HTTPClient.from_url(
             URL(url),
             headers=headers,
@@ -53,12 +53,28 @@
     def call(
         self, method: str, path: str, body: bytes = b"", headers: dict[str, str] | None = None
     ) -> ApiReply:
-        """Call and parse the answer.
+        """Send a request and decode the JSON reply.
+
+        Parameters
+        ----------
+        method : str
+            HTTP method.
+        path : str
+            Path below the base URL.
+        body : bytes
+            Request body.
+        headers : dict[str, str] or None
+            Further request headers.
+
+        Returns
+        -------
+        ApiReply
+            The reply, whatever its HTTP status.
 
         Raises
         ------
         GentianmuxError
-            ``PEER_LOST`` when no answer came.
+            ``PEER_LOST`` if the request failed without a usable reply.
         """
         try:
             response = self._client.request(method, path, body=body, headers=headers or {})
@@ -68,7 +84,7 @@
         return ApiReply(response.status_code, content)
 
 
-def _unchecked_context() -> ssl.SSLContext:
+def _unverified_ssl_context() -> ssl.SSLContext:
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.check_hostname = False
     context.verify_mode = ssl.CERT_NONE
--- a/src/gentianmux/cli.py
+++ b/src/gentianmux/cli.py
@@ -21,19 +21,21 @@
 from .loss_commands import Losses
 from .output import EXIT_FAILED, EXIT_OK, EXIT_UNKNOWN, Output, spinner
 
-ENTRY_URL = "http://127.0.0.1:7480"
+DEFAULT_ENTRY_URL = "http://127.0.0.1:7480"
 
 
 @dataclass
 class Access:
-    """Where and as whom to call."""
+    """Options that select the entry, the API key and the output format."""
 
     url: Annotated[
         str,
         cappa.Arg(
-            long=True, help="An entry.", default=cappa.Env("GENTIANMUX_URL", default=ENTRY_URL)
+            long=True,
+            help="An entry.",
+            default=cappa.Env("GENTIANMUX_URL", default=DEFAULT_ENTRY_URL),
         ),
-    ] = ENTRY_URL
+    ] = DEFAULT_ENTRY_URL
     key: Annotated[
         str,
         cappa.Arg(
@@ -43,11 +45,11 @@
     as_json: Annotated[bool, cappa.Arg(long="--json", help="Print JSON.")] = False
 
     def client(self) -> ApiClient:
-        """A client for these."""
+        """Create a client for the selected entry and key."""
         return ApiClient(self.url, self.key)
 
     def output(self) -> Output:
-        """Where results are printed."""
+        """Create the printer for the selected output format."""
         return Output(self.as_json)
 
 
@@ -62,7 +64,7 @@
     wait: Annotated[int, cappa.Arg(long=True, help="Seconds to wait; 0 not to.")] = 60
 
     def __call__(self) -> int:
-        """Run the command."""
+        """Run the command and return its exit status."""
         text = sys.stdin.read() if str(self.file) == "-" else self.file.read_text()
         content = json.loads(text)
         if self.id or "id" not in content:
@@ -70,10 +72,10 @@
         headers = {"Prefer": f"wait={self.wait}"}
         body = json.dumps(content).encode()
         out = self.access.output()
-        out.note(f"job {content['id']}")
+        out.print_message(f"job {content['id']}")
         with spinner("waiting for the answer", out):
             reply = self.access.client().call("POST", "/v1/jobs", body, headers)
-        return out.answer(reply)
+        return out.print_reply(reply)
 
 
 @cappa.command(name="status", help="Show a job's state or answer.")
@@ -86,10 +88,10 @@
     wait: Annotated[int, cappa.Arg(long=True, help="Seconds to wait for the answer.")] = 0
 
     def __call__(self) -> int:
-        """Run the command."""
+        """Run the command and return its exit status."""
         headers = {"Prefer": f"wait={self.wait}"}
         reply = self.access.client().call("GET", f"/v1/jobs/{self.job}", headers=headers)
-        return self.access.output().answer(reply)
+        return self.access.output().print_reply(reply)
 
 
 @cappa.command(name="cancel", help="Cancel a job.")
@@ -101,9 +103,9 @@
     access: Annotated[Access, cappa.Arg.destructured()]
 
     def __call__(self) -> int:
-        """Run the command."""
+        """Run the command and return its exit status."""
         reply = self.access.client().call("DELETE", f"/v1/jobs/{self.job}")
-        return self.access.output().answer(reply)
+        return self.access.output().print_reply(reply)
 
 
 @cappa.command(name="report", help="Show what an entry or agent has counted.")
@@ -114,9 +116,9 @@
     access: Annotated[Access, cappa.Arg.destructured()]
 
     def __call__(self) -> int:
-        """Run the command."""
+        """Run the command and return its exit status."""
         reply = self.access.client().call("GET", "/metrics.json")
-        return self.access.output().table(reply.content)
+        return self.access.output().print_table(reply.content)
 
 
 @cappa.command(name="explain", help="Show how a job was decided.")
@@ -128,14 +130,14 @@
     access: Annotated[Access, cappa.Arg.destructured()]
 
     def __call__(self) -> int:
-        """Run the command."""
+        """Run the command and return its exit status."""
         reply = self.access.client().call("GET", f"/v1/explain/{self.job}")
-        return self._show(reply)
+        return self._print_trail(reply)
 
-    def _show(self, reply: ApiReply) -> int:
+    def _print_trail(self, reply: ApiReply) -> int:
         out = self.access.output()
         if reply.status != 200:
-            return out.answer(reply)
+            return out.print_reply(reply)
         if out.as_json:
             out.print(reply.content)
             return EXIT_OK
@@ -156,10 +158,10 @@
 
 
 def main(argv: list[str] | None = None) -> None:
-    """Run one command and exit with its status."""
+    """Parse the command line, run the command and exit with its status."""
     try:
-        tool = cappa.parse(Gentianmux, argv=argv, version=cappa.Arg(__version__, long="--version"))
-        sys.exit(tool.command())
+        args = cappa.parse(Gentianmux, argv=argv, version=cappa.Arg(__version__, long="--version"))
+        sys.exit(args.command())
     except GentianmuxError as exc:
         print(exc, file=sys.stderr)
         sys.exit(EXIT_UNKNOWN if exc.code.info.ran is Ran.UNKNOWN else EXIT_FAILED)
--- a/src/gentianmux/config_commands.py
+++ b/src/gentianmux/config_commands.py
@@ -24,32 +24,32 @@
 from .publish import PublishResult, publish, read_config
 from .rules import find_faults
 
-LOG_URL = "http://127.0.0.1:7300"
-ATTEMPTS = 10
-PAUSE_S = 0.5
+DEFAULT_LOG_URL = "http://127.0.0.1:7300"
+PUBLISH_ATTEMPTS = 10
+PUBLISH_RETRY_DELAY_S = 0.5
 RULE_KINDS = ("member", "team", "service")
 
 
 @dataclass
 class LogAccess:
-    """Where the platform's log is."""
+    """Options that select the platform's log and the output format."""
 
     log_url: Annotated[
         str,
         cappa.Arg(
             long=True,
             help="The platform's log.",
-            default=cappa.Env("GENTIANMUX_LOG_URL", default=LOG_URL),
+            default=cappa.Env("GENTIANMUX_LOG_URL", default=DEFAULT_LOG_URL),
         ),
-    ] = LOG_URL
+    ] = DEFAULT_LOG_URL
     as_json: Annotated[bool, cappa.Arg(long="--json", help="Print JSON.")] = False
 
     def log(self) -> HttpLog:
-        """The log."""
+        """Create a client for the selected log."""
         return HttpLog(self.log_url)
 
     def output(self) -> Output:
-        """Where results are printed."""
+        """Create the printer for the selected output format."""
         return Output(self.as_json)
 
 
@@ -69,33 +69,35 @@
     ] = None
 
     def __call__(self) -> int:
-        """Run the command."""
+        """Run the command and return its exit status."""
         out = self.access.output()
-        imported, kinds = self._read()
+        imported, kinds = self._read_files()
         if imported.faults:
             for fault in imported.faults:
-                out.note(f"{int(ResultCode.CHANGE_INVALID)} line {fault.line}: {fault.problem}")
+                out.print_message(
+                    f"{int(ResultCode.CHANGE_INVALID)} line {fault.line}: {fault.problem}"
+                )
             return EXIT_FAILED
         state = read_config(self.access.log())
         change = diff(state, imported.items, kinds)
         if self.dry_run:
             return _show_difference(out, state, change)
-        return _publish(self.access, change._replace(change_id=self.change_id or _change_id()))
+        return _publish(self.access, change._replace(change_id=self.change_id or _new_change_id()))
 
-    def _read(self) -> tuple[Imported, list[str]]:
+    def _read_files(self) -> tuple[Imported, list[str]]:
         items: dict[str, Any] = {}
         faults = []
         kinds: list[str] = []
         if self.inventory is not None:
             text = self.inventory.read_text()
-            found = read_inventory(text, self.inventory.suffix == ".json")
-            items.update(found.items)
-            faults += found.faults
+            parsed = read_inventory(text, self.inventory.suffix == ".json")
+            items.update(parsed.items)
+            faults += parsed.faults
             kinds.append("worker")
         if self.rules is not None:
-            found = read_rules(self.rules.read_text())
-            items.update(found.items)
-            faults += found.faults
+            parsed = read_rules(self.rules.read_text())
+            items.update(parsed.items)
+            faults += parsed.faults
             kinds += RULE_KINDS
         return Imported(items, faults), kinds
 
@@ -110,11 +112,11 @@
     change_id: Annotated[str | None, cappa.Arg(long=True, help="Makes a repeat harmless.")] = None
 
     def __call__(self) -> int:
-        """Run the command."""
+        """Run the command and return its exit status."""
         content = json.loads(self.file.read_text())
         state = read_config(self.access.log())
         change = Change(
-            self.change_id or str(content.get("change_id") or _change_id()),
+            self.change_id or str(content.get("change_id") or _new_change_id()),
             int(content.get("based_on", state.version)),
             dict(content.get("set", {})),
             list(content.get("remove", [])),
@@ -130,7 +132,7 @@
     access: Annotated[LogAccess, cappa.Arg.destructured()]
 
     def __call__(self) -> int:
-        """Run the command."""
+        """Run the command and return its exit status."""
         state = read_config(self.access.log())
         Output(True).print({"version": state.version, "items": state.items})
         return EXIT_OK
@@ -145,7 +147,7 @@
     urls: Annotated[list[str], cappa.Arg(long="--url", help="A process to ask; may stand again.")]
 
     def __call__(self) -> int:
-        """Run the command."""
+        """Run the command and return its exit status."""
         newest = read_config(self.access.log()).version
         versions = {url: _version_at(url) for url in self.urls}
         behind = [url for url, version in versions.items() if version < newest]
@@ -166,7 +168,7 @@
     """Hash a key."""
 
     def __call__(self) -> int:
-        """Run the command."""
+        """Run the command and return its exit status."""
         key = sys.stdin.read().strip()
         print(hashlib.sha256(key.encode("latin-1", "replace")).hexdigest())
         return EXIT_OK
@@ -180,11 +182,11 @@
     command: cappa.Subcommands[Import | Publish | Show | ConfigStatus | KeyHash]
 
     def __call__(self) -> int:
-        """Run the command below this one."""
+        """Run the selected subcommand and return its exit status."""
         return self.command()
 
 
-def _change_id() -> str:
+def _new_change_id() -> str:
     return new_id(int(time() * 1000), SystemRandom().getrandbits(74))
 
 
@@ -198,27 +200,29 @@
 def _publish(access: LogAccess, change: Change) -> int:
     out = access.output()
     if not change.set and not change.remove:
-        out.note("nothing to change")
+        out.print_message("nothing to change")
         return EXIT_OK
     with spinner("waiting to read the change back", out):
-        done = publish(access.log(), change, ATTEMPTS, lambda: gevent.sleep(PAUSE_S))
-    return _show_outcome(out, change, done)
+        result = publish(
+            access.log(), change, PUBLISH_ATTEMPTS, lambda: gevent.sleep(PUBLISH_RETRY_DELAY_S)
+        )
+    return _show_outcome(out, change, result)
 
 
-def _show_outcome(out: Output, change: Change, done: PublishResult) -> int:
-    words = {ResultCode.OK: "accepted", ResultCode.CHANGE_UNKNOWN: "unknown"}
-    word = words.get(done.code, "rejected")
+def _show_outcome(out: Output, change: Change, result: PublishResult) -> int:
+    outcomes = {ResultCode.OK: "accepted", ResultCode.CHANGE_UNKNOWN: "unknown"}
+    outcome = outcomes.get(result.code, "rejected")
     if out.as_json:
-        faults = [fault._asdict() for fault in done.faults]
-        content = {"outcome": word, "code": int(done.code), "offset": done.offset}
+        faults = [fault._asdict() for fault in result.faults]
+        content = {"outcome": outcome, "code": int(result.code), "offset": result.offset}
         out.print({**content, "change_id": change.change_id, "faults": faults})
     else:
-        print(f"{word}: {done.code.label} at {done.offset}, change {change.change_id}")
-        for fault in done.faults:
+        print(f"{outcome}: {result.code.label} at {result.offset}, change {change.change_id}")
+        for fault in result.faults:
             print(f"  {fault.item}: {fault.problem}")
-    if done.code is ResultCode.OK:
+    if result.code is ResultCode.OK:
         return EXIT_OK
-    return EXIT_UNKNOWN if done.code is ResultCode.CHANGE_UNKNOWN else EXIT_FAILED
+    return EXIT_UNKNOWN if result.code is ResultCode.CHANGE_UNKNOWN else EXIT_FAILED
 
 
 def _show_difference(out: Output, state: ConfigState, change: Change) -> int:
@@ -239,7 +243,7 @@
 
 def _difference_lines(state: ConfigState, change: Change) -> Iterator[str]:
     for key, value in sorted(change.set.items()):
-        sign = "~" if key in state.items else "+"
-        yield f"{sign} {key} {json.dumps(value, sort_keys=True)}"
+        marker = "~" if key in state.items else "+"
+        yield f"{marker} {key} {json.dumps(value, sort_keys=True)}"
     for key in change.remove:
         yield f"- {key}"
--- a/src/gentianmux/fleet_commands.py
+++ b/src/gentianmux/fleet_commands.py
@@ -1,4 +1,4 @@
-"""The ``gentianmux fleet`` commands: who owns which shard, and releasing lost ones."""
+"""The ``gentianmux fleet`` commands: show shard ownership and release lost shards."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 from .follower import Follower
 from .output import EXIT_FAILED, EXIT_OK
 
-WARNING = (
+RELEASE_WARNING = (
     "A released shard is claimed by another agent at once. If its owner and heir still run and"
     " reach each other, a task may start twice. Make sure that both have ended; then say --sure."
 )
@@ -29,19 +29,19 @@
     shards: Annotated[int, cappa.Arg(long=True, help="Shards of the fleet.")] = 64
 
     def __call__(self) -> int:
-        """Run the command."""
-        state = _read(self.access, self.shards)
+        """Run the command and return its exit status."""
+        state = _read_fleet(self.access, self.shards)
         owned = Counter(row.owner for row in state.shards)
         heirs = Counter(row.heir for row in state.shards)
         out = self.access.output()
         if out.as_json:
-            processes = [each._asdict() for each in state.processes.values()]
+            processes = [process._asdict() for process in state.processes.values()]
             rows = [row._asdict() for row in state.shards]
             out.print({"version": state.version, "processes": processes, "shards": rows})
             return EXIT_OK
         for name, join in sorted(state.processes.items()):
-            where = f"{join.role:10}  {join.failure_domain:8}  {join.address:21}"
-            print(f"{name:32}  {where}  owns {owned[name]:4}  heir of {heirs[name]:4}")
+            details = f"{join.role:10}  {join.failure_domain:8}  {join.address:21}"
+            print(f"{name:32}  {details}  owns {owned[name]:4}  heir of {heirs[name]:4}")
         lost = [n for n, row in enumerate(state.shards) if state.is_gone(row.owner)]
         print(f"{len(lost)} shards without a live owner in the log: {lost}")
         return EXIT_OK
@@ -59,12 +59,12 @@
     sure: Annotated[bool, cappa.Arg(long=True, help="Both processes have ended.")] = False
 
     def __call__(self) -> int:
-        """Run the command."""
+        """Run the command and return its exit status."""
         out = self.access.output()
         if not self.sure:
-            out.note(WARNING)
+            out.print_message(RELEASE_WARNING)
             return EXIT_FAILED
-        state = _read(self.access, self.shards)
+        state = _read_fleet(self.access, self.shards)
         unknown = [number for number in self.numbers if not 0 <= number < self.shards]
         if unknown:
             raise GentianmuxError(ResultCode.BAD_FIELD, f"no such shards: {unknown}")
@@ -82,11 +82,11 @@
     command: cappa.Subcommands[FleetShow | FleetRelease]
 
     def __call__(self) -> int:
-        """Run the command below this one."""
+        """Run the selected subcommand and return its exit status."""
         return self.command()
 
 
-def _read(access: LogAccess, shards: int) -> FleetState:
+def _read_fleet(access: LogAccess, shards: int) -> FleetState:
     state = FleetState(shards)
     Follower(access.log(), STREAM, state).poll()
     return state
--- a/src/gentianmux/loss_commands.py
+++ b/src/gentianmux/loss_commands.py
@@ -24,21 +24,21 @@
     as_json: Annotated[bool, cappa.Arg(long="--json", help="Print JSON.")] = False
 
     def __call__(self) -> int:
-        """Run the command."""
-        found = report(_lines(self.logs))
+        """Run the command and return its exit status."""
+        summary = report(_read_lines(self.logs))
         if self.plot is not None:
-            self.plot.write_text(plot(found["losses"]))
+            self.plot.write_text(plot(summary["losses"]))
         out = Output(self.as_json)
         if self.as_json:
-            out.print(found)
+            out.print(summary)
         else:
-            print("\n".join(_table(found)))
-        if not found["queues"]:
-            out.note("the logs hold no job that ended")
-        return EXIT_OK if found["queues"] else EXIT_FAILED
+            print("\n".join(_format_report(summary)))
+        if not summary["queues"]:
+            out.print_message("the logs hold no job that ended")
+        return EXIT_OK if summary["queues"] else EXIT_FAILED
 
 
-def _lines(logs: list[Path]) -> Iterator[str]:
+def _read_lines(logs: list[Path]) -> Iterator[str]:
     for path in logs:
         if str(path) == "-":
             yield from sys.stdin
@@ -47,13 +47,13 @@
                 yield from lines
 
 
-def _table(found: Report) -> Iterator[str]:
+def _format_report(summary: Report) -> Iterator[str]:
     yield f"{'queue':20} {'jobs':>6} {'response/ideal p50':>18} {'p99':>6}  outcomes"
-    for queue in found["queues"]:
+    for queue in summary["queues"]:
         outcomes = ", ".join(f"{name} {jobs}" for name, jobs in queue["outcomes"].items())
-        middle, tail = queue["response_over_ideal_p50"], queue["response_over_ideal_p99"]
-        yield f"{queue['queue']:20} {queue['jobs']:6} {middle:18.2f} {tail:6.2f}  {outcomes}"
-    runs = found["runs"]
+        p50, p99 = queue["response_over_ideal_p50"], queue["response_over_ideal_p99"]
+        yield f"{queue['queue']:20} {queue['jobs']:6} {p50:18.2f} {p99:6.2f}  {outcomes}"
+    runs = summary["runs"]
     wasted = ", ".join(f"{name} {count}" for name, count in runs["wasted"].items()) or "none"
     yield ""
     yield (
@@ -62,11 +62,11 @@
     )
     yield ""
     yield f"{'second':8} {'queue':20} {'outcome':10} {'jobs':>5}  cause and mean inputs"
-    for row in found["losses"]:
+    for row in summary["losses"]:
         inputs = " ".join(f"{name}={value:g}" for name, value in row["inputs"].items())
         yield (
             f"{row['second']:8} {row['queue']:20} {row['outcome']:10} {row['jobs']:5}  "
             f"{row['cause']} {inputs}".rstrip()
         )
-    if found["unreadable_lines"]:
-        yield f"{found['unreadable_lines']} lines could not be read"
+    if summary["unreadable_lines"]:
+        yield f"{summary['unreadable_lines']} lines could not be read"
