--- a/src/gentianmux/fleet_state.py
+++ b/src/gentianmux/fleet_state.py
@@ -30,7 +30,7 @@
 
     ``epoch`` is the offset of the record that made the owner; ``base`` that of the newest
     accepted record about the shard, which the next one must name. ``prior`` owned the shard
-    before, under ``prior_epoch``, and its ledger was lost; ``handed_over`` is set when a
+    before, under ``prior_epoch``, and its ledger was lost; ``handed`` is set when a
     planned move brought the ledger along. Times are Unix ms.
     """
 
@@ -42,7 +42,7 @@
     prior: str = NO_PROCESS
     prior_epoch: int = -1
     prior_since_ms: int = 0
-    handed_over: bool = False
+    handed: bool = False
 
     def with_new_owner(self, owner: str, heir: str, offset: int, at_ms: int) -> "Shard":
         """Return the row after the owner was replaced without a handover of its ledger."""
@@ -254,9 +254,9 @@
 
 def _after_handover(row: Shard, record: Handover, heir: str, offset: int) -> Shard:
     # The prior owner stays as it is: what it lost is still lost. A receiver that has no ledger
-    # sees by ``handed_over`` that one existed.
+    # sees by ``handed`` that one existed.
     moved = row._replace(owner=record.to, heir=heir, epoch=offset, base=offset)
-    return moved._replace(since_ms=record.at_ms, handed_over=True)
+    return moved._replace(since_ms=record.at_ms, handed=True)
 
 
 @_apply.register
--- a/src/gentianmux/shard_manager.py
+++ b/src/gentianmux/shard_manager.py
@@ -125,7 +125,7 @@
         logger.bind(shard=number, epoch=row.epoch).debug("shard acquired")
 
     def _new_ledger(self, row: Shard) -> Ledger:
-        complete = row.prior == NO_PROCESS and not row.handed_over
+        complete = row.prior == NO_PROCESS and not row.handed
         return Ledger(self._bounds, NO_TIME if complete else self._ctx.now_ms())
 
     def _release(self, number: int, owned: OwnedShard) -> None:
